--- a/crates/azuresaddle-node/src/control/lease.rs
+++ b/crates/azuresaddle-node/src/control/lease.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use azuresaddle_core::prelude::*;
-use azuresaddle_store::{KeyValue, LeaseId, StoreError};
+use azuresaddle_store::{KeyValueStore, LeaseId, StoreError};
 use tokio::time::Instant;
 
 use super::actor::Control;
--- a/crates/azuresaddle-node/src/control/ownership.rs
+++ b/crates/azuresaddle-node/src/control/ownership.rs
@@ -4,7 +4,7 @@
 
 use azuresaddle_core::prelude::*;
 use azuresaddle_sched::{Pool, PoolOptions};
-use azuresaddle_store::{LeaseId, NO_LEASE, OwnerRecord, StoreError, acquire_pool, hand_over_pool};
+use azuresaddle_store::{LeaseId, NO_LEASE, OwnerRecord, StoreError, acquire_pool, release_pool};
 use tokio::time::Instant;
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -188,7 +188,7 @@
             let epoch = owned.epoch;
             let store = self.parts.store.clone();
             self.spawn_command(async move {
-                let done = hand_over_pool(&store, &id, epoch).await.is_ok();
+                let done = release_pool(&store, &id, epoch).await.is_ok();
                 Some(Command::HandedOver(id, done))
             });
         }
--- a/crates/azuresaddle-node/src/control/rules.rs
+++ b/crates/azuresaddle-node/src/control/rules.rs
@@ -5,7 +5,8 @@
 
 use azuresaddle_core::prelude::*;
 use azuresaddle_store::{
-    Changes, KeyValue, OWNERS_PREFIX, OwnerRecord, RULES_KEY, Revision, RulesRecord, WATCHED_PREFIX,
+    Changes, KeyValueStore, OWNERS_PREFIX, OwnerRecord, RULES_KEY, Revision, RulesRecord,
+    WATCHED_PREFIX,
 };
 use tokio::time::Instant;
 
--- a/crates/azuresaddle-standin/src/store/server.rs
+++ b/crates/azuresaddle-standin/src/store/server.rs
@@ -6,7 +6,9 @@
 
 use azuresaddle_core::http::{Body, Handler, ServerLimits, json, problem, serve};
 use azuresaddle_core::prelude::*;
-use azuresaddle_store::wire::{Found, Grant, Granted, LeaseState, Put, PutDone};
+use azuresaddle_store::wire::{
+    GetResponse, GrantLeaseRequest, GrantLeaseResponse, LeaseState, PutRequest, PutResponse,
+};
 use azuresaddle_store::{LeaseId, Revision};
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response, StatusCode};
@@ -133,14 +135,14 @@
             (Method::GET, ["v1", "keys"]) => {
                 let key = query(&req, "key").ok_or_else(|| bad("key is missing"))?;
                 let entry = self.shared.model().get(&key);
-                Ok(json(StatusCode::OK, &Found { entry }))
+                Ok(json(StatusCode::OK, &GetResponse { entry }))
             }
             (Method::PUT, ["v1", "keys"]) => self.put(req).await,
             (Method::POST, ["v1", "leases"]) => {
-                let grant: Grant = read(req).await?;
+                let grant: GrantLeaseRequest = read(req).await?;
                 let ttl = Duration::from_millis(grant.ttl_ms);
                 let lease = self.shared.model().grant(Instant::now(), ttl);
-                Ok(json(StatusCode::OK, &Granted { lease }))
+                Ok(json(StatusCode::OK, &GrantLeaseResponse { lease }))
             }
             (Method::PUT, ["v1", "leases", id]) => {
                 if self.shared.take_fault(|f| &mut f.lose_renewals) {
@@ -160,7 +162,7 @@
 
     async fn put(&self, req: Request<Incoming>) -> Result<Response<Body>, Problem> {
         let key = query(&req, "key").ok_or_else(|| bad("key is missing"))?;
-        let Put { value, expected } = read(req).await?;
+        let PutRequest { value, expected } = read(req).await?;
         let result = self.shared.model().compare_and_swap(&key, value, expected);
         if result.is_ok() {
             self.shared.changed.send_modify(|n| *n += 1);
@@ -169,8 +171,8 @@
             }
         }
         Ok(match result {
-            Ok(version) => json(StatusCode::OK, &PutDone { version }),
-            Err(entry) => json(StatusCode::CONFLICT, &Found { entry }),
+            Ok(version) => json(StatusCode::OK, &PutResponse { version }),
+            Err(entry) => json(StatusCode::CONFLICT, &GetResponse { entry }),
         })
     }
 
--- a/crates/azuresaddle-store/src/claims.rs
+++ b/crates/azuresaddle-store/src/claims.rs
@@ -9,14 +9,14 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::error::StoreError;
-use crate::kv::{KeyValue, KeyVersion};
+use crate::kv::{KeyValueStore, KeyVersion};
 use crate::unix_time::unix_ms;
 
 /// Number of segments that claims are spread over.
 const SEGMENTS: u64 = 8;
 
 /// Most claims that wait for one segment.
-const MAX_WAITING: usize = 1024;
+const MAX_PENDING_CLAIMS: usize = 1024;
 
 /// Most claims written at once.
 const MAX_BATCH: usize = 256;
@@ -25,7 +25,7 @@
 const MAX_ATTEMPTS: usize = 8;
 
 /// Pause after a failed attempt, so that writers to one segment get out of step.
-const ATTEMPT_PAUSE: Duration = Duration::from_millis(10);
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(10);
 
 /// Longest a claim is kept after its deadline; a caller's retry comes well before.
 const RETENTION: Duration = Duration::from_secs(600);
@@ -85,10 +85,10 @@
 
 impl Claims {
     /// Starts one writer for each segment.
-    pub fn spawn<S: KeyValue>(store: &S, node: HostName, spawner: &Spawner) -> Self {
+    pub fn spawn<S: KeyValueStore>(store: &S, node: HostName, spawner: &Spawner) -> Self {
         let segments = (0..SEGMENTS)
             .map(|segment| {
-                let (tx, rx) = mpsc::channel(MAX_WAITING);
+                let (tx, rx) = mpsc::channel(MAX_PENDING_CLAIMS);
                 spawner.spawn(write_segment(store.clone(), segment, rx));
                 tx
             })
@@ -119,8 +119,11 @@
         self.segments[segment]
             .try_send(Pending { record, reply })
             .map_err(|_| StoreError::Unreachable("too many claims wait".to_owned()))?;
-        rx.await
-            .unwrap_or_else(|_| Err(StoreError::Unknown("the claim writer stopped".to_owned())))
+        rx.await.unwrap_or_else(|_| {
+            Err(StoreError::OutcomeUnknown(
+                "the claim writer stopped".to_owned(),
+            ))
+        })
     }
 }
 
@@ -129,7 +132,7 @@
     (xxh3_64(text.as_bytes()) % SEGMENTS) as usize
 }
 
-async fn write_segment<S: KeyValue>(store: S, segment: u64, mut rx: mpsc::Receiver<Pending>) {
+async fn write_segment<S: KeyValueStore>(store: S, segment: u64, mut rx: mpsc::Receiver<Pending>) {
     let key = format!("azuresaddle-claims/{segment}");
     let mut batch = Vec::new();
     while rx.recv_many(&mut batch, MAX_BATCH).await > 0 {
@@ -147,15 +150,15 @@
 }
 
 /// Writes a batch; the result has one outcome for each record, in order.
-async fn write_batch<S: KeyValue>(
+async fn write_batch<S: KeyValueStore>(
     store: &S,
     key: &str,
     records: &[ClaimRecord],
 ) -> Result<Vec<ClaimOutcome>, StoreError> {
-    let mut last_error = StoreError::Unknown("no attempt was made".to_owned());
+    let mut last_error = StoreError::OutcomeUnknown("no attempt was made".to_owned());
     for attempt in 0..MAX_ATTEMPTS {
         if attempt > 0 {
-            tokio::time::sleep(ATTEMPT_PAUSE.mul_f64(rand::random::<f64>())).await;
+            tokio::time::sleep(MAX_RETRY_DELAY.mul_f64(rand::random::<f64>())).await;
         }
         let (mut segment, version) = match read_segment(store, key).await {
             Ok(read) => read,
@@ -178,7 +181,7 @@
     Err(last_error)
 }
 
-async fn read_segment<S: KeyValue>(
+async fn read_segment<S: KeyValueStore>(
     store: &S,
     key: &str,
 ) -> Result<(ClaimSegment, KeyVersion), StoreError> {
--- a/crates/azuresaddle-store/src/error.rs
+++ b/crates/azuresaddle-store/src/error.rs
@@ -12,7 +12,7 @@
     Unreachable(String),
     /// No answer came; a write may have taken effect.
     #[error("store gave no answer: {0}")]
-    Unknown(String),
+    OutcomeUnknown(String),
     /// The key has another version than expected.
     #[error("the key has changed")]
     Conflict(Option<Entry>),
--- a/crates/azuresaddle-store/src/http_store.rs
+++ b/crates/azuresaddle-store/src/http_store.rs
@@ -10,11 +10,13 @@
 use serde::de::DeserializeOwned;
 
 use crate::error::StoreError;
-use crate::kv::{Changes, Entry, KeyValue, KeyVersion, LeaseId, Revision};
-use crate::wire::{Found, Grant, Granted, LeaseState, Put, PutDone};
+use crate::kv::{Changes, Entry, KeyValueStore, KeyVersion, LeaseId, Revision};
+use crate::wire::{
+    GetResponse, GrantLeaseRequest, GrantLeaseResponse, LeaseState, PutRequest, PutResponse,
+};
 
 /// Time added to a watch's wait before its connection counts as silent.
-const WATCH_SLACK: Duration = Duration::from_secs(1);
+const WATCH_TIMEOUT_MARGIN: Duration = Duration::from_secs(1);
 
 /// Client of the key-value service.
 #[derive(Clone)]
@@ -46,10 +48,10 @@
     }
 }
 
-impl<N: Network> KeyValue for HttpStore<N> {
+impl<N: Network> KeyValueStore for HttpStore<N> {
     async fn get(&self, key: &str) -> Result<Option<Entry>, StoreError> {
         let path = format!("/v1/keys?key={key}");
-        let found: Found = self
+        let found: GetResponse = self
             .call(Method::GET, &path, None::<&()>)
             .await
             .map_err(to_store_error)?;
@@ -63,8 +65,8 @@
         expected: KeyVersion,
     ) -> Result<KeyVersion, StoreError> {
         let path = format!("/v1/keys?key={key}");
-        let put = Put { value, expected };
-        let done: Result<PutDone, _> = self.call(Method::PUT, &path, Some(&put)).await;
+        let put = PutRequest { value, expected };
+        let done: Result<PutResponse, _> = self.call(Method::PUT, &path, Some(&put)).await;
         match done {
             Ok(done) => Ok(done.version),
             Err(HttpError::Status { status, .. }) if status == StatusCode::CONFLICT => {
@@ -76,10 +78,10 @@
     }
 
     async fn grant_lease(&self, ttl: Duration) -> Result<LeaseId, StoreError> {
-        let grant = Grant {
+        let grant = GrantLeaseRequest {
             ttl_ms: u64::try_from(ttl.as_millis()).unwrap_or(u64::MAX),
         };
-        let granted: Granted = self
+        let granted: GrantLeaseResponse = self
             .call(Method::POST, "/v1/leases", Some(&grant))
             .await
             .map_err(to_store_error)?;
@@ -120,7 +122,7 @@
             wait.as_millis()
         );
         self.http
-            .get(self.addr, &path, wait + WATCH_SLACK)
+            .get(self.addr, &path, wait + WATCH_TIMEOUT_MARGIN)
             .await
             .map_err(to_store_error)
     }
@@ -129,6 +131,6 @@
 fn to_store_error(e: HttpError) -> StoreError {
     match e.verdict() {
         Verdict::NotRun => StoreError::Unreachable(e.to_string()),
-        _ => StoreError::Unknown(e.to_string()),
+        _ => StoreError::OutcomeUnknown(e.to_string()),
     }
 }
--- a/crates/azuresaddle-store/src/kv.rs
+++ b/crates/azuresaddle-store/src/kv.rs
@@ -51,7 +51,7 @@
 }
 
 /// A key-value service with compare-and-swap, leases and bounded watches.
-pub trait KeyValue: Clone + Send + Sync + 'static {
+pub trait KeyValueStore: Clone + Send + Sync + 'static {
     /// Reads a key.
     ///
     /// # Errors
@@ -61,7 +61,7 @@
     /// Writes a key if it has the expected version.
     ///
     /// # Errors
-    /// [`StoreError::Conflict`] where it has another, [`StoreError::Unknown`] where the write may
+    /// [`StoreError::Conflict`] where it has another, [`StoreError::OutcomeUnknown`] where the write may
     /// have taken effect.
     fn compare_and_swap(
         &self,
--- a/crates/azuresaddle-store/src/lib.rs
+++ b/crates/azuresaddle-store/src/lib.rs
@@ -16,10 +16,8 @@
 pub use claims::{ClaimKey, ClaimOutcome, ClaimRecord, ClaimSegment, Claims};
 pub use error::StoreError;
 pub use http_store::HttpStore;
-pub use kv::{Changes, Entry, KeyValue, KeyVersion, LeaseId, Revision};
-pub use ownership::{
-    NO_LEASE, OWNERS_PREFIX, OwnerRecord, acquire_pool, hand_over_pool, owner_key,
-};
+pub use kv::{Changes, Entry, KeyValueStore, KeyVersion, LeaseId, Revision};
+pub use ownership::{NO_LEASE, OWNERS_PREFIX, OwnerRecord, acquire_pool, owner_key, release_pool};
 pub use rules_record::{
     ChangeSummary, PutRulesError, RULES_KEY, RulesRecord, put_rules, read_rules,
 };
--- a/crates/azuresaddle-store/src/ownership.rs
+++ b/crates/azuresaddle-store/src/ownership.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::error::StoreError;
-use crate::kv::{KeyValue, KeyVersion, LeaseId};
+use crate::kv::{KeyValueStore, KeyVersion, LeaseId};
 
 /// Prefix of the keys of owners.
 pub const OWNERS_PREFIX: &str = "azuresaddle/owners/";
@@ -41,7 +41,7 @@
 ///
 /// # Errors
 /// Where the service does not answer, or the result stays unknown; the next call settles it.
-pub async fn acquire_pool<S: KeyValue>(
+pub async fn acquire_pool<S: KeyValueStore>(
     store: &S,
     pool: &PoolId,
     owner: &HostName,
@@ -68,15 +68,15 @@
     match store.compare_and_swap(&key, value, version).await {
         Ok(_) => Ok(record),
         // The lease is in the record, so reading back tells whether a lost write was this one.
-        Err(StoreError::Conflict(_) | StoreError::Unknown(_)) => {
+        Err(StoreError::Conflict(_) | StoreError::OutcomeUnknown(_)) => {
             let (present, _) = read_owner(store, &key).await?;
-            present.ok_or_else(|| StoreError::Unknown("the owner record is gone".to_owned()))
+            present.ok_or_else(|| StoreError::OutcomeUnknown("the owner record is gone".to_owned()))
         }
         Err(e) => Err(e),
     }
 }
 
-async fn is_held<S: KeyValue>(store: &S, lease: LeaseId) -> Result<bool, StoreError> {
+async fn is_held<S: KeyValueStore>(store: &S, lease: LeaseId) -> Result<bool, StoreError> {
     if lease == NO_LEASE {
         return Ok(false);
     }
@@ -87,7 +87,7 @@
 ///
 /// # Errors
 /// Where the service does not answer, or the pool has another owner already.
-pub async fn hand_over_pool<S: KeyValue>(
+pub async fn release_pool<S: KeyValueStore>(
     store: &S,
     pool: &PoolId,
     epoch: Epoch,
@@ -107,7 +107,7 @@
         .map(|_| ())
 }
 
-async fn read_owner<S: KeyValue>(
+async fn read_owner<S: KeyValueStore>(
     store: &S,
     key: &str,
 ) -> Result<(Option<OwnerRecord>, KeyVersion), StoreError> {
--- a/crates/azuresaddle-store/src/rules_record.rs
+++ b/crates/azuresaddle-store/src/rules_record.rs
@@ -6,7 +6,7 @@
 use thiserror::Error;
 
 use crate::error::StoreError;
-use crate::kv::{Entry, KeyValue, KeyVersion};
+use crate::kv::{Entry, KeyValueStore, KeyVersion};
 use crate::unix_time::unix_ms;
 
 /// Key of the rules.
@@ -65,7 +65,7 @@
 ///
 /// # Errors
 /// Where the service does not answer or the stored value can't be read.
-pub async fn read_rules<S: KeyValue>(store: &S) -> Result<RulesRecord, StoreError> {
+pub async fn read_rules<S: KeyValueStore>(store: &S) -> Result<RulesRecord, StoreError> {
     let (record, _) = read_versioned(store).await?;
     Ok(record)
 }
@@ -77,14 +77,14 @@
 ///
 /// # Errors
 /// [`PutRulesError::Conflict`] where another change came first, with the record in force.
-pub async fn put_rules<S: KeyValue>(
+pub async fn put_rules<S: KeyValueStore>(
     store: &S,
     base: RulesVersion,
     document: RulesDocument,
     comment: &str,
 ) -> Result<RulesRecord, PutRulesError> {
     let change_id = rand::random();
-    let mut last_error = StoreError::Unknown("no attempt was made".to_owned());
+    let mut last_error = StoreError::OutcomeUnknown("no attempt was made".to_owned());
     for _ in 0..MAX_ATTEMPTS {
         let (current, key_version) = match read_versioned(store).await {
             Ok(read) => read,
@@ -144,7 +144,9 @@
     }
 }
 
-async fn read_versioned<S: KeyValue>(store: &S) -> Result<(RulesRecord, KeyVersion), StoreError> {
+async fn read_versioned<S: KeyValueStore>(
+    store: &S,
+) -> Result<(RulesRecord, KeyVersion), StoreError> {
     match store.get(RULES_KEY).await? {
         None => Ok((RulesRecord::default(), KeyVersion(0))),
         Some(entry) => Ok((RulesRecord::from_entry(&entry)?, entry.version)),
--- a/crates/azuresaddle-store/src/wire.rs
+++ b/crates/azuresaddle-store/src/wire.rs
@@ -2,9 +2,9 @@
 //!
 //! | call | body | answer |
 //! |---|---|---|
-//! | `GET /v1/keys?key=K` | | [`Found`] |
-//! | `PUT /v1/keys?key=K` | [`Put`] | [`PutDone`], or 409 with [`Found`] |
-//! | `POST /v1/leases` | [`Grant`] | [`Granted`] |
+//! | `GET /v1/keys?key=K` | | [`GetResponse`] |
+//! | `PUT /v1/keys?key=K` | [`PutRequest`] | [`PutResponse`], or 409 with [`GetResponse`] |
+//! | `POST /v1/leases` | [`GrantLeaseRequest`] | [`GrantLeaseResponse`] |
 //! | `PUT /v1/leases/ID` | | [`LeaseState`], or 404 |
 //! | `GET /v1/leases/ID` | | [`LeaseState`] |
 //! | `GET /v1/watch?prefix=P&after=R&wait-ms=N` | | [`crate::Changes`] |
@@ -16,7 +16,7 @@
 /// Result of a read.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct Found {
+pub struct GetResponse {
     /// The value, if the key exists.
     pub entry: Option<Entry>,
 }
@@ -24,7 +24,7 @@
 /// A compare-and-swap.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct Put {
+pub struct PutRequest {
     /// New value.
     pub value: String,
     /// Expected version; 0 where the key must not exist.
@@ -34,7 +34,7 @@
 /// Result of a compare-and-swap that took effect.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct PutDone {
+pub struct PutResponse {
     /// New version of the key.
     pub version: KeyVersion,
 }
@@ -42,7 +42,7 @@
 /// Request for a lease.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct Grant {
+pub struct GrantLeaseRequest {
     /// Time to live, in milliseconds.
     pub ttl_ms: u64,
 }
@@ -50,7 +50,7 @@
 /// A granted lease.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct Granted {
+pub struct GrantLeaseResponse {
     /// Its identifier.
     pub lease: LeaseId,
 }
