--- a/crates/azuresaddle-rpc/src/clients.rs
+++ b/crates/azuresaddle-rpc/src/clients.rs
@@ -75,18 +75,18 @@
         match tokio::time::timeout(timeout, call(C::from(channel), cx)).await {
             Ok(Ok(value)) => Ok(value),
             Ok(Err(_)) => {
-                self.forget(addr);
+                self.drop_connection(addr);
                 Err(RpcError::Broken)
             }
             Err(_) => {
-                self.forget(addr);
-                Err(RpcError::NoAnswer)
+                self.drop_connection(addr);
+                Err(RpcError::Timeout)
             }
         }
     }
 
     /// Drops the connection to a node; calls in flight on it fail.
-    pub fn forget(&self, addr: SocketAddr) {
+    pub fn drop_connection(&self, addr: SocketAddr) {
         self.lock().remove(&addr);
     }
 
--- a/crates/azuresaddle-rpc/src/error.rs
+++ b/crates/azuresaddle-rpc/src/error.rs
@@ -13,5 +13,5 @@
     Broken,
     /// No answer came in time.
     #[error("no answer from the node")]
-    NoAnswer,
+    Timeout,
 }
