--- a/crates/azuresaddle-core/src/burn.rs
+++ b/crates/azuresaddle-core/src/burn.rs
@@ -121,7 +121,7 @@
 
 /// Collects samples.
 #[derive(Debug, Default)]
-pub struct BurnLedger {
+pub struct BurnRecorder {
     rows: Mutex<BTreeMap<(ClientAccount, String), Row>>,
 }
 
@@ -133,7 +133,7 @@
     started: Instant,
 }
 
-impl BurnLedger {
+impl BurnRecorder {
     /// Notes what became of a request.
     pub fn record(&self, now: Instant, account: &ClientAccount, rule: &str, sample: &Sample) {
         let mut rows = self.rows.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/azuresaddle-core/src/deployment/account.rs
+++ b/crates/azuresaddle-core/src/deployment/account.rs
@@ -8,7 +8,7 @@
     /// Name that targets are told.
     pub name: ClientAccount,
     /// Keys that callers present.
-    pub keys: Vec<String>,
+    pub api_keys: Vec<String>,
     /// Rank that goes before that of the route; 0 is the most urgent.
     pub priority: Option<u8>,
 }
--- a/crates/azuresaddle-core/src/deployment/configuration.rs
+++ b/crates/azuresaddle-core/src/deployment/configuration.rs
@@ -51,7 +51,7 @@
         let mut accounts_by_key = HashMap::new();
         for account in accounts {
             let account = Arc::new(account);
-            for key in &account.keys {
+            for key in &account.api_keys {
                 accounts_by_key.insert(key.clone(), Arc::clone(&account));
             }
         }
--- a/crates/azuresaddle-core/src/deployment/entry_settings.rs
+++ b/crates/azuresaddle-core/src/deployment/node_settings.rs
@@ -19,7 +19,7 @@
 
 /// What a node is told at its start.
 #[derive(Clone, Debug, PartialEq)]
-pub struct EntrySettings {
+pub struct NodeSettings {
     /// Name of the host.
     pub name: HostName,
     /// Failure domain of the host.
--- a/crates/azuresaddle-core/src/deployment/route.rs
+++ b/crates/azuresaddle-core/src/deployment/route.rs
@@ -5,7 +5,7 @@
 
 /// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeat {
+pub enum Idempotency {
     /// Any number of times.
     Idempotent,
     /// At most once.
@@ -31,7 +31,7 @@
     /// Prefix of the path; begins and ends with a slash.
     pub prefix: String,
     /// Whether a request may run again after a failure.
-    pub repeat: Repeat,
+    pub idempotency: Idempotency,
     /// Whether the answer is a stream of events.
     pub is_stream: bool,
     /// Longest time that a request may take.
@@ -52,9 +52,9 @@
 
 impl Route {
     /// The service at a position between 0 and 1 of the weights.
-    pub fn pick_service(&self, at: f64) -> Option<&Arc<str>> {
+    pub fn pick_service(&self, fraction: f64) -> Option<&Arc<str>> {
         let total: u32 = self.services.iter().map(|s| s.weight).sum();
-        let mut left = at * f64::from(total);
+        let mut left = fraction * f64::from(total);
         for s in &self.services {
             left -= f64::from(s.weight);
             if left < 0.0 {
--- a/crates/azuresaddle-core/src/deployment/target_entry.rs
+++ b/crates/azuresaddle-core/src/deployment/target_entry.rs
@@ -54,7 +54,7 @@
 
 impl TargetEntry {
     /// Whether both say the same but for their number, which grows all the time.
-    pub fn is_same_state(&self, other: &Self) -> bool {
+    pub fn eq_ignoring_sequence(&self, other: &Self) -> bool {
         let renumbered = Self {
             sequence: other.sequence,
             ..self.clone()
--- a/crates/azuresaddle-core/src/http/server.rs
+++ b/crates/azuresaddle-core/src/http/server.rs
@@ -23,7 +23,7 @@
 
 /// Part of a head beyond its limit that is still read, to answer with a problem that says so; a
 /// longer one is answered with a bare status.
-const READ_FACTOR: usize = 4;
+const READ_BUFFER_FACTOR: usize = 4;
 
 /// Bounds on what one server takes.
 #[derive(Clone, Copy, Debug)]
@@ -101,7 +101,7 @@
     let _ = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(limits.header_timeout)
-        .max_buf_size(limits.max_header_bytes * READ_FACTOR)
+        .max_buf_size(limits.max_header_bytes * READ_BUFFER_FACTOR)
         .serve_connection(TokioIo::new(stream), service)
         .await;
 }
--- a/crates/azuresaddle-core/src/losses/line.rs
+++ b/crates/azuresaddle-core/src/losses/line.rs
@@ -28,14 +28,14 @@
 impl LogLine {
     /// Reads a line; what stands before the JSON object, such as a collector's own time, is passed
     /// over. `None` where it is no line of a node that tells of a request.
-    pub(super) fn read(text: &str) -> Option<Self> {
+    pub(super) fn parse(text: &str) -> Option<Self> {
         let json = &text[text.find('{')?..];
         let line: Self = serde_json::from_str(json).ok()?;
         line.request.is_some().then_some(line)
     }
 
     /// Unix time in milliseconds.
-    pub(super) fn at_ms(&self) -> Option<i64> {
+    pub(super) fn timestamp_ms(&self) -> Option<i64> {
         let at = OffsetDateTime::parse(&self.timestamp, &Rfc3339).ok()?;
         i64::try_from(at.unix_timestamp_nanos() / 1_000_000).ok()
     }
--- a/crates/azuresaddle-core/src/losses/mod.rs
+++ b/crates/azuresaddle-core/src/losses/mod.rs
@@ -3,10 +3,10 @@
 //! A node logs what it decided about a request and how the request ended. Put together, the lines of
 //! all nodes tell for each request whether it was served on time, and if not, what came between.
 
-mod account;
 mod line;
 mod reason;
+mod report;
 mod request;
 
-pub use account::{Account, Row, Second, SizeClass};
 pub use reason::Reason;
+pub use report::{LossReport, ReasonTotals, SecondTotals, SizeClass};
--- a/crates/azuresaddle-core/src/losses/account.rs
+++ b/crates/azuresaddle-core/src/losses/report.rs
@@ -16,14 +16,14 @@
 const MAX_WORTH: f64 = 4.0;
 
 /// The largest of a route's requests, as one part in this many.
-const LARGEST: usize = 10;
+const LARGEST_DIVISOR: usize = 10;
 
 /// The ones below them, as one part in this many.
-const LARGE: usize = 5;
+const LARGE_DIVISOR: usize = 5;
 
 /// Requests of one route that ended for one reason.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Row {
+pub struct ReasonTotals {
     /// The route.
     pub route: String,
     /// The reason.
@@ -36,9 +36,9 @@
 
 /// Requests that arrived in one second.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Second {
+pub struct SecondTotals {
     /// Seconds since the first request of all.
-    pub at: i64,
+    pub offset_s: i64,
     /// Requests.
     pub count: usize,
     /// Worth of all of them.
@@ -62,7 +62,7 @@
 
 /// One request with what it is worth.
 #[derive(Clone, Debug)]
-struct Judged {
+struct ClassifiedRequest {
     route: String,
     prompt_tokens: u64,
     arrived_ms: i64,
@@ -72,30 +72,30 @@
 
 /// All requests out of the logs.
 #[derive(Clone, Debug, Default)]
-pub struct Account {
-    judged: Vec<Judged>,
+pub struct LossReport {
+    requests: Vec<ClassifiedRequest>,
 }
 
-impl Account {
+impl LossReport {
     /// Puts the account together from log lines of all nodes, in any order.
     ///
     /// `worth_of` says what a request of a route's mean size is worth. Requests that no route was found
     /// for are left out.
     pub fn new<'a>(lines: impl Iterator<Item = &'a str>, worth_of: impl Fn(&str) -> f64) -> Self {
         let mut requests: HashMap<String, Request> = HashMap::new();
-        for line in lines.filter_map(LogLine::read) {
+        for line in lines.filter_map(LogLine::parse) {
             if let Some(id) = line.request.clone() {
-                requests.entry(id).or_default().take(line);
+                requests.entry(id).or_default().add_line(line);
             }
         }
         let known = requests.into_values().filter(|r| r.route.is_some());
         let known: Vec<Request> = known.collect();
         let means = mean_sizes(&known);
-        let judged = known.into_iter().map(|r| {
+        let requests = known.into_iter().map(|r| {
             let reason = r.reason();
             let route = r.route.unwrap_or_default();
             let mean = means.get(&route).copied().unwrap_or(0.0);
-            Judged {
+            ClassifiedRequest {
                 worth: worth_of(&route) * worth_by_size(r.prompt_tokens, mean),
                 route,
                 prompt_tokens: r.prompt_tokens,
@@ -104,27 +104,27 @@
             }
         });
         Self {
-            judged: judged.collect(),
+            requests: requests.collect(),
         }
     }
 
     /// Number of requests.
     pub fn len(&self) -> usize {
-        self.judged.len()
+        self.requests.len()
     }
 
     /// Whether no request was found.
     pub fn is_empty(&self) -> bool {
-        self.judged.is_empty()
+        self.requests.is_empty()
     }
 
     /// Counts and worth by route and reason.
-    pub fn rows(&self) -> Vec<Row> {
-        let mut rows: BTreeMap<(String, usize), Row> = BTreeMap::new();
-        for request in &self.judged {
+    pub fn rows(&self) -> Vec<ReasonTotals> {
+        let mut rows: BTreeMap<(String, usize), ReasonTotals> = BTreeMap::new();
+        for request in &self.requests {
             let rank = Reason::ALL.iter().position(|r| *r == request.reason);
             let key = (request.route.clone(), rank.unwrap_or(Reason::ALL.len()));
-            let row = rows.entry(key).or_insert_with(|| Row {
+            let row = rows.entry(key).or_insert_with(|| ReasonTotals {
                 route: request.route.clone(),
                 reason: request.reason,
                 count: 0,
@@ -137,15 +137,15 @@
     }
 
     /// Requests by the second of their arrival.
-    pub fn seconds(&self) -> Vec<Second> {
-        let Some(first) = self.judged.iter().map(|r| r.arrived_ms).min() else {
+    pub fn seconds(&self) -> Vec<SecondTotals> {
+        let Some(first) = self.requests.iter().map(|r| r.arrived_ms).min() else {
             return Vec::new();
         };
-        let mut seconds: BTreeMap<i64, Second> = BTreeMap::new();
-        for request in &self.judged {
-            let at = (request.arrived_ms - first) / 1000;
-            let second = seconds.entry(at).or_default();
-            second.at = at;
+        let mut seconds: BTreeMap<i64, SecondTotals> = BTreeMap::new();
+        for request in &self.requests {
+            let offset_s = (request.arrived_ms - first) / 1000;
+            let second = seconds.entry(offset_s).or_default();
+            second.offset_s = offset_s;
             second.count += 1;
             second.worth += request.worth;
             if request.reason != Reason::OnTime {
@@ -157,15 +157,15 @@
 
     /// Requests on time by route and size: the largest tenth, the fifth below it, the others.
     pub fn size_classes(&self) -> Vec<SizeClass> {
-        let mut by_route: BTreeMap<&str, Vec<&Judged>> = BTreeMap::new();
-        for request in &self.judged {
+        let mut by_route: BTreeMap<&str, Vec<&ClassifiedRequest>> = BTreeMap::new();
+        for request in &self.requests {
             by_route.entry(&request.route).or_default().push(request);
         }
         let mut classes = Vec::new();
         for (route, mut requests) in by_route {
             requests.sort_by_key(|r| std::cmp::Reverse(r.prompt_tokens));
-            let largest = requests.len().div_ceil(LARGEST);
-            let large = (largest + requests.len().div_ceil(LARGE)).min(requests.len());
+            let largest = requests.len().div_ceil(LARGEST_DIVISOR);
+            let large = (largest + requests.len().div_ceil(LARGE_DIVISOR)).min(requests.len());
             for (size, part) in [
                 ("largest tenth", &requests[..largest]),
                 ("fifth below", &requests[largest..large]),
--- a/crates/azuresaddle-core/src/losses/request.rs
+++ b/crates/azuresaddle-core/src/losses/request.rs
@@ -4,7 +4,7 @@
 use super::reason::Reason;
 
 /// Part of the latency target within which a refusal counts as given at once.
-const AT_ONCE: u64 = 8;
+const IMMEDIATE_REFUSAL_DIVISOR: u64 = 8;
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -28,7 +28,7 @@
 
 impl Request {
     /// Takes one of its lines.
-    pub(super) fn take(&mut self, line: LogLine) {
+    pub(super) fn add_line(&mut self, line: LogLine) {
         if let Some(route) = &line.route {
             self.route = Some(route.clone());
         }
@@ -36,7 +36,7 @@
             self.prompt_tokens = tokens;
         }
         let age = line.age_ms.or(line.waited_ms);
-        if let (Some(at), Some(age)) = (line.at_ms(), age) {
+        if let (Some(at), Some(age)) = (line.timestamp_ms(), age) {
             self.arrived_ms = at - age as i64;
         }
         let end = match line.message.as_str() {
@@ -108,7 +108,7 @@
 fn reason_of_refusal(line: &LogLine) -> Reason {
     let age = line.age_ms.unwrap_or(0);
     let target = line.target_ms.unwrap_or(0);
-    if age * AT_ONCE <= target {
+    if age * IMMEDIATE_REFUSAL_DIVISOR <= target {
         Reason::RefusedAtOnce
     } else {
         Reason::RefusedLater
--- a/crates/azuresaddle-core/src/net/tcp.rs
+++ b/crates/azuresaddle-core/src/net/tcp.rs
@@ -14,10 +14,10 @@
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// Time between probes of a connection on which nothing is sent.
-const PROBE_INTERVAL: Duration = Duration::from_secs(1);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Unanswered probes after which a connection counts as broken.
-const PROBES: u32 = 2;
+const MAX_KEEPALIVE_PROBES: u32 = 2;
 
 /// Real sockets.
 #[derive(Clone, Copy, Debug, Default)]
@@ -39,11 +39,11 @@
         stream.set_nodelay(true)?;
         let socket = SockRef::from(&stream);
         socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))?;
-        let probes = TcpKeepalive::new()
-            .with_time(PROBE_INTERVAL)
-            .with_interval(PROBE_INTERVAL)
-            .with_retries(PROBES);
-        socket.set_tcp_keepalive(&probes)?;
+        let keepalive = TcpKeepalive::new()
+            .with_time(KEEPALIVE_INTERVAL)
+            .with_interval(KEEPALIVE_INTERVAL)
+            .with_retries(MAX_KEEPALIVE_PROBES);
+        socket.set_tcp_keepalive(&keepalive)?;
         Ok(stream)
     }
 
--- a/crates/azuresaddle-core/src/spawner.rs
+++ b/crates/azuresaddle-core/src/spawner.rs
@@ -48,7 +48,7 @@
     }
 
     /// The same task group, with new tasks on another runtime.
-    pub fn on(&self, handle: Handle) -> Self {
+    pub fn on_runtime(&self, handle: Handle) -> Self {
         Self {
             inner: Arc::clone(&self.inner),
             handle,
@@ -69,18 +69,18 @@
         F: Future<Output = ()> + Send + 'static,
     {
         let killed = self.inner.killed.clone();
-        let gate = Gate {
+        let task = FreezableTask {
             inner: Arc::clone(&self.inner),
             future: Box::pin(future),
         };
-        let task = self.handle.spawn(async move {
+        let join = self.handle.spawn(async move {
             tokio::select! {
                 biased;
                 () = killed.cancelled() => {}
-                () = gate => {}
+                () = task => {}
             }
         });
-        task.abort_handle()
+        join.abort_handle()
     }
 
     /// Drops every task of the group, as `kill -9` would.
@@ -112,12 +112,12 @@
 }
 
 /// A task's future, not polled while its group is frozen.
-struct Gate<F> {
+struct FreezableTask<F> {
     inner: Arc<Inner>,
     future: Pin<Box<F>>,
 }
 
-impl<F: Future<Output = ()>> Future for Gate<F> {
+impl<F: Future<Output = ()>> Future for FreezableTask<F> {
     type Output = ();
 
     fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<()> {
--- a/crates/azuresaddle-edge/src/control/actor.rs
+++ b/crates/azuresaddle-edge/src/control/actor.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use azuresaddle_core::deployment::{Configuration, EntrySettings};
+use azuresaddle_core::deployment::{Configuration, NodeSettings};
 use azuresaddle_core::http::HttpClient;
 use azuresaddle_core::prelude::*;
 use azuresaddle_platform::{PlatformStore, StoreEra, StorePosition};
@@ -48,7 +48,7 @@
 
 /// What control needs.
 pub(crate) struct ControlParts<N> {
-    pub(crate) settings: EntrySettings,
+    pub(crate) settings: NodeSettings,
     pub(crate) net: N,
     pub(crate) spawner: Spawner,
     pub(crate) incarnation: u64,
--- a/crates/azuresaddle-edge/src/control/held_entry.rs
+++ b/crates/azuresaddle-edge/src/control/held_entry.rs
@@ -38,7 +38,7 @@
 
 fn is_same_state(one: Option<&Arc<TargetEntry>>, other: Option<&Arc<TargetEntry>>) -> bool {
     match (one, other) {
-        (Some(one), Some(other)) => one.is_same_state(other),
+        (Some(one), Some(other)) => one.eq_ignoring_sequence(other),
         (None, None) => true,
         _ => false,
     }
--- a/crates/azuresaddle-edge/src/forward/forwarder.rs
+++ b/crates/azuresaddle-edge/src/forward/forwarder.rs
@@ -2,8 +2,8 @@
 
 use std::sync::Arc;
 
-use azuresaddle_core::burn::{BurnLedger, Sample};
-use azuresaddle_core::deployment::{Bounds, EngineSpec, EntrySettings, TargetEntry};
+use azuresaddle_core::burn::{BurnRecorder, Sample};
+use azuresaddle_core::deployment::{Bounds, EngineSpec, NodeSettings, TargetEntry};
 use azuresaddle_core::prelude::*;
 use hyper::{Response, StatusCode};
 use tokio::sync::mpsc;
@@ -50,12 +50,12 @@
     pub(super) breaks: Breaks,
     pub(super) bounds: Bounds,
     pub(super) metrics: Metrics,
-    pub(super) burn: Arc<BurnLedger>,
+    pub(super) burn: Arc<BurnRecorder>,
 }
 
 impl<N: Network> Forwarder<N> {
     /// Starts to follow the targets.
-    pub(crate) fn spawn(net: N, settings: &EntrySettings, parts: ForwarderParts<N>) -> Arc<Self> {
+    pub(crate) fn spawn(net: N, settings: &NodeSettings, parts: ForwarderParts<N>) -> Arc<Self> {
         let ForwarderParts {
             spawner,
             snapshots,
@@ -114,7 +114,7 @@
     }
 
     /// Service-level counts of this node's requests.
-    pub(crate) fn burn(&self) -> Arc<BurnLedger> {
+    pub(crate) fn burn(&self) -> Arc<BurnRecorder> {
         Arc::clone(&self.burn)
     }
 
--- a/crates/azuresaddle-edge/src/forward/head.rs
+++ b/crates/azuresaddle-edge/src/forward/head.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use azuresaddle_core::deployment::{Account, Repeat, Route};
+use azuresaddle_core::deployment::{Account, Idempotency, Route};
 use azuresaddle_core::prelude::*;
 use azuresaddle_platform::headers;
 use bytes::Bytes;
@@ -133,7 +133,7 @@
 impl ForwardRequest {
     /// Whether the request may run again after a failure.
     pub(crate) fn is_idempotent(&self) -> bool {
-        self.route.repeat == Repeat::Idempotent
+        self.route.idempotency == Idempotency::Idempotent
     }
 
     /// Time until the deadline.
--- a/crates/azuresaddle-edge/src/forward/stream/place.rs
+++ b/crates/azuresaddle-edge/src/forward/stream/place.rs
@@ -69,7 +69,7 @@
     async fn place(&mut self) -> Result<Place<N>, Duration> {
         let service = Arc::clone(&self.req.service);
         match self.cx.engine_spec(&service) {
-            Some(spec) => self.place_on_engines(spec.usual_answer_tokens).await,
+            Some(spec) => self.place_on_engines(spec.mean_answer_tokens).await,
             None => self.place_plain().await,
         }
     }
--- a/crates/azuresaddle-edge/src/metrics_page.rs
+++ b/crates/azuresaddle-edge/src/metrics_page.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use azuresaddle_core::burn::BurnLedger;
+use azuresaddle_core::burn::BurnRecorder;
 use azuresaddle_core::http::{Body, Handler, full};
 use azuresaddle_core::prelude::*;
 use bytes::Bytes;
@@ -33,7 +33,7 @@
 /// Serves the metrics, the service-level counts and the quarantine.
 pub(crate) struct MetricsPage {
     pub(crate) metrics: Metrics,
-    pub(crate) burn: Arc<BurnLedger>,
+    pub(crate) burn: Arc<BurnRecorder>,
     pub(crate) quarantine: Arc<SharedQuarantine>,
 }
 
--- a/crates/azuresaddle-edge/src/node.rs
+++ b/crates/azuresaddle-edge/src/node.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use azuresaddle_core::deployment::EntrySettings;
+use azuresaddle_core::deployment::NodeSettings;
 use azuresaddle_core::http::{ServerLimits, serve};
 use azuresaddle_core::prelude::*;
 use azuresaddle_platform::StorePosition;
@@ -91,7 +91,7 @@
     /// # Errors
     /// Where an address can't be bound.
     pub async fn open<N: Network>(
-        settings: EntrySettings,
+        settings: NodeSettings,
         options: NodeOptions,
         net: N,
         spawner: Spawner,
@@ -102,7 +102,7 @@
         let snapshots = Snapshots::new(first_snapshot(&settings, incarnation));
         let leaving = CancellationToken::new();
         let socket = open_socket(&settings, &control).await?;
-        let control_spawner = spawner.on(control);
+        let control_spawner = spawner.on_runtime(control);
         let (no_answer, no_answer_rx) = mpsc::channel(MAX_NO_ANSWER);
         let (crashes, crashes_seen) = mpsc::channel(MAX_CRASHES_SEEN);
         let quarantine = SharedQuarantine::new(crashes, metrics.clone());
@@ -219,7 +219,7 @@
     }
 }
 
-fn first_snapshot(settings: &EntrySettings, incarnation: u64) -> Snapshot {
+fn first_snapshot(settings: &NodeSettings, incarnation: u64) -> Snapshot {
     let own = LiveNode {
         incarnation,
         callers: settings.listen.callers,
@@ -255,7 +255,7 @@
 }
 
 /// Opens the socket for heartbeats on the runtime that reads it.
-async fn open_socket(settings: &EntrySettings, control: &Handle) -> Result<UdpSocket, OpenError> {
+async fn open_socket(settings: &NodeSettings, control: &Handle) -> Result<UdpSocket, OpenError> {
     let addr = SocketAddr::from((settings.ip, settings.heartbeat_port));
     let opened = control.spawn(UdpSocket::bind(addr)).await;
     opened
--- a/crates/azuresaddle-edge/src/placement/tests/rounds.rs
+++ b/crates/azuresaddle-edge/src/placement/tests/rounds.rs
@@ -19,12 +19,12 @@
         step_ms: 0.925,
         step_ms_per_stream: 0.005,
         step_ms_per_1k_context: 0.003,
-        read_tokens_per_ms: 256.0,
-        ms_per_1m_pairs: 0.09,
-        max_read_tokens_per_step: 2048,
-        holder_hop_ms: 0.1,
+        prefill_tokens_per_ms: 256.0,
+        attention_ms_per_1m_pairs: 0.09,
+        max_prefill_tokens_per_step: 2048,
+        helper_hop_ms: 0.1,
         report_lag: Duration::from_millis(200),
-        usual_answer_tokens: 1500,
+        mean_answer_tokens: 1500,
     }
 }
 
--- a/crates/azuresaddle-node/src/control/handle.rs
+++ b/crates/azuresaddle-node/src/control/handle.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use azuresaddle_core::burn::{BurnCounts, BurnLedger};
+use azuresaddle_core::burn::{BurnCounts, BurnRecorder};
 use azuresaddle_store::RulesRecord;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
@@ -16,12 +16,16 @@
 pub struct ControlHandle {
     tx: mpsc::Sender<Command>,
     snapshot: SharedSnapshot,
-    burn: Arc<BurnLedger>,
+    burn: Arc<BurnRecorder>,
 }
 
 impl ControlHandle {
     /// A handle on a control task's queue.
-    pub fn new(tx: mpsc::Sender<Command>, snapshot: SharedSnapshot, burn: Arc<BurnLedger>) -> Self {
+    pub fn new(
+        tx: mpsc::Sender<Command>,
+        snapshot: SharedSnapshot,
+        burn: Arc<BurnRecorder>,
+    ) -> Self {
         Self { tx, snapshot, burn }
     }
 
--- a/crates/azuresaddle-node/src/node.rs
+++ b/crates/azuresaddle-node/src/node.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use arc_swap::ArcSwap;
-use azuresaddle_core::burn::BurnLedger;
+use azuresaddle_core::burn::BurnRecorder;
 use azuresaddle_core::http::{HttpClient, ServerLimits, serve};
 use azuresaddle_core::prelude::*;
 use azuresaddle_store::{Claims, HttpStore};
@@ -95,12 +95,12 @@
             settings: Arc::new(settings),
             net,
             spawner: spawner.clone(),
-            control_spawner: spawner.on(control),
+            control_spawner: spawner.on_runtime(control),
             snapshot: Arc::new(ArcSwap::from_pointee(Snapshot::empty())),
             live: LiveStreams::default(),
             metrics,
         };
-        let burn = Arc::new(BurnLedger::default());
+        let burn = Arc::new(BurnRecorder::default());
         let control = parts.spawn_control(peer_addr, Arc::clone(&burn));
         let traffic = Arc::new(parts.traffic(control.clone(), burn));
         serve_peers(peers, &parts.control_spawner, control.clone());
@@ -180,7 +180,7 @@
         HttpStore::new(http, self.settings.store, self.settings.store_timeout)
     }
 
-    fn spawn_control(&self, peer_addr: SocketAddr, burn: Arc<BurnLedger>) -> ControlHandle {
+    fn spawn_control(&self, peer_addr: SocketAddr, burn: Arc<BurnRecorder>) -> ControlHandle {
         let (tx, rx) = mpsc::channel(MAX_COMMANDS);
         let http = HttpClient::new(self.net.clone(), self.control_spawner.clone());
         let control = Control::new(ControlParts {
@@ -199,7 +199,7 @@
         ControlHandle::new(tx, Arc::clone(&self.snapshot), burn)
     }
 
-    fn traffic(&self, control: ControlHandle, burn: Arc<BurnLedger>) -> Traffic<N> {
+    fn traffic(&self, control: ControlHandle, burn: Arc<BurnRecorder>) -> Traffic<N> {
         let http = HttpClient::new(self.net.clone(), self.spawner.clone());
         let peers = PeerClients::new(self.net.clone(), self.spawner.clone());
         let store = self.store(http.clone());
--- a/crates/azuresaddle-node/src/traffic/state.rs
+++ b/crates/azuresaddle-node/src/traffic/state.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use azuresaddle_core::burn::BurnLedger;
+use azuresaddle_core::burn::BurnRecorder;
 use azuresaddle_core::http::HttpClient;
 use azuresaddle_core::prelude::*;
 use azuresaddle_store::{Claims, HttpStore};
@@ -45,7 +45,7 @@
     /// Metrics.
     pub metrics: Metrics,
     /// Service-level counts.
-    pub burn: Arc<BurnLedger>,
+    pub burn: Arc<BurnRecorder>,
     /// Outstanding calls to plain services.
     pub services: super::call::ServiceLoad,
 }
--- a/crates/azuresaddle-sched/src/passes/engine.rs
+++ b/crates/azuresaddle-sched/src/passes/engine.rs
@@ -150,7 +150,7 @@
     /// Time of a pass's token steps once all present streams write, in milliseconds.
     pub(super) fn write_ms(&self, spec: &EngineSpec) -> f64 {
         let context = self.leads.iter().map(|l| l.context_tokens).sum();
-        spec.write_ms(self.leads.len(), context) * self.pace.factor()
+        spec.decode_ms(self.leads.len(), context) * self.pace.factor()
     }
 
     /// Longest pass that keeps the pauses of all streams here, in milliseconds.
@@ -210,7 +210,7 @@
             if idle && self.next_read_ms == 0.0 {
                 return;
             }
-            let ms = spec.write_ms(count, context) * self.pace.factor() + self.next_read_ms;
+            let ms = spec.decode_ms(count, context) * self.pace.factor() + self.next_read_ms;
             let reads = self.next_read_ms > 0.0;
             self.next_read_ms = 0.0;
             let start = if idle { now } else { self.pass_ends };
--- a/crates/azuresaddle-sched/src/passes/pool/mod.rs
+++ b/crates/azuresaddle-sched/src/passes/pool/mod.rs
@@ -160,7 +160,7 @@
         if self.queue.contains(ask.id) || self.runs.contains_key(&ask.id) {
             return;
         }
-        let read_ms = self.spec.read_ms(ask.prompt_tokens);
+        let read_ms = self.spec.prefill_ms(ask.prompt_tokens);
         let before = self.queue.len();
         let hopeless = self.hopeless(now, &ask, read_ms, self.ahead_ms(read_ms), before);
         let refused = hopeless
--- a/crates/azuresaddle-standin/src/passes/engine.rs
+++ b/crates/azuresaddle-standin/src/passes/engine.rs
@@ -57,8 +57,8 @@
     /// Queues a part of a prompt of `prompt_tokens`, split evenly over `parts` engines.
     pub fn add_read(&mut self, stream: usize, prompt_tokens: u64, parts: usize, is_help: bool) {
         let tokens = prompt_tokens.div_ceil(parts as u64).max(1);
-        let steps = prompt_tokens as f64 / f64::from(self.spec.max_read_tokens_per_step);
-        let reading_ms = self.spec.read_ms(prompt_tokens) - steps * self.spec.step_ms;
+        let steps = prompt_tokens as f64 / f64::from(self.spec.max_prefill_tokens_per_step);
+        let reading_ms = self.spec.prefill_ms(prompt_tokens) - steps * self.spec.step_ms;
         let ms = reading_ms / parts as f64;
         let read = Read {
             stream,
@@ -117,7 +117,7 @@
             // Everything that waits is read.
             let reads = self.helps.iter().chain(&self.own);
             let tokens: u64 = reads.map(|r| r.tokens_left).sum();
-            let per_step = u64::from(self.spec.max_read_tokens_per_step);
+            let per_step = u64::from(self.spec.max_prefill_tokens_per_step);
             u32::try_from(tokens.div_ceil(per_step)).unwrap_or(u32::MAX)
         } else {
             self.spec.steps_per_pass
@@ -127,7 +127,7 @@
             + self.spec.step_ms_per_stream * self.writers.len() as f64
             + self.spec.step_ms_per_1k_context * context as f64 / 1000.0;
         let mut end = PassEnd::default();
-        let tokens = u64::from(self.spec.max_read_tokens_per_step) * u64::from(steps);
+        let tokens = u64::from(self.spec.max_prefill_tokens_per_step) * u64::from(steps);
         let read_ms = self.read(tokens, &mut end);
         self.write(&mut end);
         self.pass = Some(end);
--- a/crates/azuresaddle-standin/src/passes/sheets.rs
+++ b/crates/azuresaddle-standin/src/passes/sheets.rs
@@ -109,12 +109,12 @@
         step_ms: 0.85,
         step_ms_per_stream: 0.00425,
         step_ms_per_1k_context: 0.00285,
-        read_tokens_per_ms: 177.0,
-        ms_per_1m_pairs: 0.184,
-        max_read_tokens_per_step: 2048,
-        holder_hop_ms: 0.05,
+        prefill_tokens_per_ms: 177.0,
+        attention_ms_per_1m_pairs: 0.184,
+        max_prefill_tokens_per_step: 2048,
+        helper_hop_ms: 0.05,
         report_lag: std::time::Duration::from_millis(200),
-        usual_answer_tokens: 1622,
+        mean_answer_tokens: 1622,
     }
 }
 
@@ -146,12 +146,12 @@
         step_ms: 0.925,
         step_ms_per_stream: 0.00483,
         step_ms_per_1k_context: 0.00254,
-        read_tokens_per_ms: 256.0,
-        ms_per_1m_pairs: 0.0917,
-        max_read_tokens_per_step: 2048,
-        holder_hop_ms: 0.1,
+        prefill_tokens_per_ms: 256.0,
+        attention_ms_per_1m_pairs: 0.0917,
+        max_prefill_tokens_per_step: 2048,
+        helper_hop_ms: 0.1,
         report_lag: std::time::Duration::from_millis(200),
-        usual_answer_tokens: 1540,
+        mean_answer_tokens: 1540,
     }
 }
 
--- a/crates/azuresaddle-standin/tests/suite/passes.rs
+++ b/crates/azuresaddle-standin/tests/suite/passes.rs
@@ -172,7 +172,7 @@
     engine.add_writer(1, 5000, 92);
     engine.add_read(2, 51_200, 2, true);
     // 46 steps of 0.925 ms, and half of 51,200 tokens: 100 ms and the pairs.
-    let pairs_ms = 51.2 * 51.2 / 2.0 * spec.ms_per_1m_pairs / 2.0;
+    let pairs_ms = 51.2 * 51.2 / 2.0 * spec.attention_ms_per_1m_pairs / 2.0;
     let expected = 46.0 * (0.925 + 0.00483 + 0.00254 * 5.0) + 100.0 + pairs_ms;
     let took = engine.begin_pass().unwrap();
     assert!((took - expected).abs() < 0.5, "{took} against {expected}");
--- a/src/cmd/losses.rs
+++ b/src/cmd/losses.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use anyhow::{Result, bail};
-use azuresaddle_core::losses::{Account, Reason, Row, Second};
+use azuresaddle_core::losses::{LossReport, Reason, ReasonTotals, SecondTotals};
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
 
 use super::log_files;
@@ -50,7 +50,7 @@
     let logs = log_files::read(args)?;
     let told = args.get_many::<(String, f64)>("worth");
     let worth: HashMap<String, f64> = told.into_iter().flatten().cloned().collect();
-    let account = Account::new(logs.iter().flat_map(|log| log.text.lines()), |route| {
+    let account = LossReport::new(logs.iter().flat_map(|log| log.text.lines()), |route| {
         worth.get(route).copied().unwrap_or(1.0)
     });
     if account.is_empty() {
@@ -65,7 +65,7 @@
     Ok(())
 }
 
-fn print_rows(account: &Account) {
+fn print_rows(account: &LossReport) {
     let rows = account.rows();
     let total: f64 = rows.iter().map(|r| r.worth).sum();
     line(format!("{} requests", account.len()));
@@ -73,7 +73,7 @@
         "{:<14} {:<26} {:>7} {:>9} {:>7}",
         "route", "reason", "count", "worth", "share"
     ));
-    for Row {
+    for ReasonTotals {
         route,
         reason,
         count,
@@ -98,7 +98,7 @@
     }
 }
 
-fn print_sizes(account: &Account) {
+fn print_sizes(account: &LossReport) {
     line(format!(
         "\n{:<14} {:<14} {:>7} {:>8}",
         "route", "prompts", "count", "on time"
@@ -112,9 +112,9 @@
     }
 }
 
-fn print_seconds(account: &Account, most: usize) {
+fn print_seconds(account: &LossReport, most: usize) {
     let mut seconds = account.seconds();
-    let lost = |s: &Second| s.lost.values().sum::<f64>();
+    let lost = |s: &SecondTotals| s.lost.values().sum::<f64>();
     seconds.sort_by(|a, b| lost(b).total_cmp(&lost(a)));
     line(format!(
         "\n{:>7} {:>7} {:>9} {:>9}  lost most by",
@@ -127,7 +127,7 @@
         let named: Vec<String> = named.collect();
         line(format!(
             "{:>7} {:>7} {:>9.1} {:>9.1}  {}",
-            second.at,
+            second.offset_s,
             second.count,
             second.worth,
             lost(second),
--- a/tests/testsuite/losses.rs
+++ b/tests/testsuite/losses.rs
@@ -1,6 +1,6 @@
 //! The account of losses: what the logs of all nodes say of each request.
 
-use azuresaddle_core::losses::{Account, Reason};
+use azuresaddle_core::losses::{LossReport, Reason};
 
 /// A line of a node about a request that arrived `arrived_ms` after the first second of a day.
 fn log(request: &str, message: &str, arrived_ms: u64, age_ms: u64, more: &str) -> String {
@@ -23,7 +23,7 @@
 }
 
 fn reason_of(lines: &[String]) -> Reason {
-    let account = Account::new(lines.iter().map(String::as_str), |_| 1.0);
+    let account = LossReport::new(lines.iter().map(String::as_str), |_| 1.0);
     let rows = account.rows();
     assert_eq!(rows.len(), 1, "{rows:?}");
     rows[0].reason
@@ -85,7 +85,7 @@
     let mut lines: Vec<String> = (0..18).map(|n| line(&format!("s{n}"), 1000)).collect();
     lines.push(line("large", 41_000));
     lines.push(line("odd", 1000));
-    let account = Account::new(lines.iter().map(String::as_str), |_| 2.0);
+    let account = LossReport::new(lines.iter().map(String::as_str), |_| 2.0);
     // The mean is 3,000: small ones are worth 0.3 + 0.7 / 3, the large one is bounded.
     let expected = 2.0 * (19.0 * (0.3 + 0.7 / 3.0) + 4.0);
     let rows = account.rows();
@@ -109,9 +109,9 @@
         plain("b", 900, 400),
         plain("c", 2_300, 10),
     ];
-    let account = Account::new(lines.iter().map(String::as_str), |_| 1.0);
+    let account = LossReport::new(lines.iter().map(String::as_str), |_| 1.0);
     let seconds = account.seconds();
-    let told: Vec<(i64, usize)> = seconds.iter().map(|s| (s.at, s.count)).collect();
+    let told: Vec<(i64, usize)> = seconds.iter().map(|s| (s.offset_s, s.count)).collect();
     assert_eq!(told, [(0, 2), (2, 1)]);
     assert_eq!(seconds[0].lost.get(&Reason::LateAnswer), Some(&1.0));
     assert!(seconds[1].lost.is_empty());
