--- a/crates/azuresaddle-node/src/control/lease.rs
+++ b/crates/azuresaddle-node/src/control/lease.rs
@@ -42,7 +42,7 @@
                         held = Some(lease);
                         let _ = tx.send(Command::LeaseHeld(lease, sent)).await;
                     }
-                    Err(StoreError::LeaseLapsed) => {
+                    Err(StoreError::LeaseExpired) => {
                         if let Some(lease) = held.take() {
                             let _ = tx.send(Command::LeaseLapsed(lease)).await;
                         }
--- a/crates/azuresaddle-store/src/error.rs
+++ b/crates/azuresaddle-store/src/error.rs
@@ -18,7 +18,7 @@
     Conflict(Option<Entry>),
     /// The lease has lapsed.
     #[error("the lease has lapsed")]
-    LeaseLapsed,
+    LeaseExpired,
     /// The stored value can't be read.
     #[error("bad value under {key}: {detail}")]
     BadValue {
--- a/crates/azuresaddle-store/src/http_store.rs
+++ b/crates/azuresaddle-store/src/http_store.rs
@@ -97,7 +97,7 @@
         if state.alive {
             Ok(())
         } else {
-            Err(StoreError::LeaseLapsed)
+            Err(StoreError::LeaseExpired)
         }
     }
 
--- a/crates/azuresaddle-store/src/kv.rs
+++ b/crates/azuresaddle-store/src/kv.rs
@@ -82,7 +82,7 @@
     /// Renews a lease for its time to live from now.
     ///
     /// # Errors
-    /// [`StoreError::LeaseLapsed`] where it is too late.
+    /// [`StoreError::LeaseExpired`] where it is too late.
     fn renew_lease(&self, lease: LeaseId) -> impl Future<Output = Result<(), StoreError>> + Send;
 
     /// Whether a lease still runs.
