--- a/crates/azuresaddle-rpc/src/clients.rs
+++ b/crates/azuresaddle-rpc/src/clients.rs
@@ -1,4 +1,4 @@
-//! Connections to other nodes.
+//! Client connections to other nodes.
 
 use std::collections::HashMap;
 use std::marker::PhantomData;
@@ -15,11 +15,13 @@
 use crate::error::RpcError;
 use crate::transport::transport;
 
-/// Longest wait for a connection.
+/// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Keeps one connection to each other node, and opens a new one after every failure, since a
-/// connection can go silent while new ones work.
+/// Keeps one connection to each other node.
+///
+/// A failed call closes the connection and the next call opens a new one, since a connection can
+/// go silent while new ones work.
 pub struct RpcClients<N, C, Req, Resp> {
     net: N,
     spawner: Spawner,
@@ -45,7 +47,7 @@
     Req: Serialize + tarpc::RequestName + Send + 'static,
     Resp: DeserializeOwned + Send + 'static,
 {
-    /// No connections yet.
+    /// Creates a set of clients without connections.
     pub fn new(net: N, spawner: Spawner) -> Self {
         Self {
             net,
@@ -55,10 +57,10 @@
         }
     }
 
-    /// Makes a call with a timeout; `call` gets the service's client `C`.
+    /// Calls a node with a timeout; `call` gets the service's client `C`.
     ///
     /// # Errors
-    /// Where no connection is made or no answer comes in time.
+    /// Returns an error if no connection is made, the connection breaks or the call times out.
     pub async fn call<T, F>(
         &self,
         addr: SocketAddr,
@@ -70,7 +72,8 @@
     {
         let channel = self.channel(addr, timeout).await?;
         let mut cx = context::current();
-        // tarpc keeps its own deadline by the system's clock; the runtime's clock decides here.
+        // tarpc checks its deadline by the system clock. It is set later than the timeout below,
+        // which uses the runtime's clock and therefore also works when a test pauses that clock.
         cx.deadline = Instant::now() + timeout * 2;
         match tokio::time::timeout(timeout, call(C::from(channel), cx)).await {
             Ok(Ok(value)) => Ok(value),
@@ -104,14 +107,14 @@
             .map_err(|_| RpcError::Unreachable)?
             .map_err(|_| RpcError::Unreachable)?;
         let mut channels = self.lock();
-        // Another call may have connected meanwhile.
+        // Another call may have connected in the meantime.
         if let Some(channel) = channels.get(&addr) {
             return Ok(channel.clone());
         }
         let new = client::new(client::Config::default(), transport(stream));
         let dispatch = new.dispatch;
         self.spawner.spawn(async move {
-            // A broken connection shows up at the callers.
+            // Connection errors are also reported to the pending calls.
             let _ = dispatch.await;
         });
         channels.insert(addr, new.client.clone());
--- a/crates/azuresaddle-rpc/src/error.rs
+++ b/crates/azuresaddle-rpc/src/error.rs
@@ -1,8 +1,8 @@
-//! Failures of calls.
+//! Failures of calls to other nodes.
 
 use thiserror::Error;
 
-/// A call to another node failed; whether it took effect is unknown unless it was not sent.
+/// Why a call to another node failed. It may have taken effect unless it was not sent.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum RpcError {
     /// No connection was made, so nothing was sent.
--- a/crates/azuresaddle-rpc/src/lib.rs
+++ b/crates/azuresaddle-rpc/src/lib.rs
@@ -1,4 +1,4 @@
-//! Calls between nodes by tarpc: one connection a peer, a timeout a call.
+//! RPC between nodes on top of tarpc, with one connection per peer and a timeout for each call.
 
 mod clients;
 mod error;
--- a/crates/azuresaddle-rpc/src/server.rs
+++ b/crates/azuresaddle-rpc/src/server.rs
@@ -1,4 +1,4 @@
-//! Accepts other nodes.
+//! Accepts connections of other nodes.
 
 use azuresaddle_core::prelude::*;
 use serde::Serialize;
@@ -18,7 +18,8 @@
     Transport<S, ClientMessage<Req>, Response<Resp>, Bincode<ClientMessage<Req>, Response<Resp>>>,
 >;
 
-/// Accepts other nodes until the spawner is killed; `on_channel` serves each.
+/// Accepts connections of other nodes until an accept fails or the spawner is killed; `on_channel`
+/// serves each.
 pub fn serve_rpc<L, Req, Resp, F>(mut listener: L, spawner: &Spawner, on_channel: F)
 where
     L: Listener,
--- a/crates/azuresaddle-rpc/src/transport.rs
+++ b/crates/azuresaddle-rpc/src/transport.rs
@@ -1,14 +1,14 @@
-//! Framing and encoding of calls.
+//! Framing and encoding of RPC messages.
 
 use tarpc::serde_transport::Transport;
 use tarpc::tokio_serde::formats::Bincode;
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 
-/// Longest message between nodes, in bytes: four times the largest value of the store.
+/// Maximum size of a message, in bytes: four times the largest value in the store.
 const MAX_FRAME_BYTES: usize = 4 << 20;
 
-/// Messages over a byte stream.
+/// Encodes messages with bincode on a byte stream.
 pub(crate) fn transport<S, Item, SinkItem>(
     stream: S,
 ) -> Transport<S, Item, SinkItem, Bincode<Item, SinkItem>>
