--- a/crates/azuresaddle-store/src/claims.rs
+++ b/crates/azuresaddle-store/src/claims.rs
@@ -12,31 +12,31 @@
 use crate::kv::{KeyValueStore, KeyVersion};
 use crate::unix_time::unix_ms;
 
-/// Number of segments that claims are spread over.
+/// Number of store keys (segments) that claims are spread over.
 const SEGMENTS: u64 = 8;
 
-/// Most claims that wait for one segment.
+/// Maximum number of claims that wait for one segment.
 const MAX_PENDING_CLAIMS: usize = 1024;
 
-/// Most claims written at once.
+/// Maximum number of claims in one write.
 const MAX_BATCH: usize = 256;
 
-/// Most compare-and-swaps tried for one batch.
+/// Maximum number of attempts to write one batch.
 const MAX_ATTEMPTS: usize = 8;
 
-/// Pause after a failed attempt, so that writers to one segment get out of step.
+/// Maximum delay after a failed attempt; random, so that writers to one segment get out of step.
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// Longest a claim is kept after its deadline; a caller's retry comes well before.
+/// How long a claim is kept after the request's deadline; callers' retries come well before.
 const RETENTION: Duration = Duration::from_secs(600);
 
-/// What is claimed: a key is the client account's own.
+/// The claimed key; each client account has its own namespace of keys.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct ClaimKey {
     /// The client account.
     pub account: ClientAccount,
-    /// The `Idempotency-Key` header.
+    /// Value of the `Idempotency-Key` header.
     pub key: String,
 }
 
@@ -46,11 +46,11 @@
 pub struct ClaimRecord {
     /// The claimed key.
     pub claim: ClaimKey,
-    /// The request that has the claim.
+    /// The request that holds the claim.
     pub request: RequestId,
-    /// The node that relays it.
+    /// The node that handles the request.
     pub node: HostName,
-    /// When the claim may be forgotten, in milliseconds since the Unix epoch.
+    /// When the claim expires, in milliseconds since the Unix epoch.
     pub expires_unix_ms: u64,
 }
 
@@ -58,16 +58,16 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct ClaimSegment {
-    /// Claims in the order of their writing.
+    /// Claims in the order in which they were written.
     pub claims: Vec<ClaimRecord>,
 }
 
-/// Result of a claim.
+/// Result of an attempt to claim a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimOutcome {
-    /// The request has the key.
+    /// The request holds the key.
     Claimed,
-    /// Another request has the key.
+    /// Another request holds the key.
     Held(ClaimRecord),
 }
 
@@ -76,7 +76,7 @@
     reply: oneshot::Sender<Result<ClaimOutcome, StoreError>>,
 }
 
-/// Claims keys in batches, one compare-and-swap for all that wait for a segment.
+/// Claims keys in batches, with one compare-and-swap for all claims that wait for a segment.
 #[derive(Clone)]
 pub struct Claims {
     node: HostName,
@@ -84,7 +84,7 @@
 }
 
 impl Claims {
-    /// Starts one writer for each segment.
+    /// Spawns one writer task for each segment.
     pub fn spawn<S: KeyValueStore>(store: &S, node: HostName, spawner: &Spawner) -> Self {
         let segments = (0..SEGMENTS)
             .map(|segment| {
@@ -99,8 +99,8 @@
     /// Claims a key for a request.
     ///
     /// # Errors
-    /// Where the claim is not known to be written. The request must then not run; the claim may
-    /// stay behind and hold the key until it expires.
+    /// Returns an error if the claim is not known to be written. The request must then not run. The
+    /// claim may still be in the store and hold the key until it expires.
     pub async fn claim(
         &self,
         claim: ClaimKey,
@@ -143,7 +143,7 @@
                 Ok(outcomes) => Ok(outcomes[i].clone()),
                 Err(e) => Err(e.clone()),
             };
-            // A caller that has gone away no longer wants the result.
+            // Sending fails if the caller no longer waits for the result.
             let _ = pending.reply.send(outcome);
         }
     }
@@ -174,7 +174,7 @@
         let value = serde_json::to_string(&segment).expect("a segment serializes");
         match store.compare_and_swap(key, value, version).await {
             Ok(_) => return Ok(outcomes),
-            // A write whose answer was lost is found by its request ids on the next read.
+            // If only the response was lost, the next read finds the records by their request ids.
             Err(e) => last_error = e,
         }
     }
@@ -196,7 +196,7 @@
 }
 
 impl ClaimSegment {
-    /// Adds the records whose keys are free; `None` where nothing has to be written.
+    /// Adds the records whose keys are free; `None` if nothing has to be written.
     fn add(&mut self, records: &[ClaimRecord], now_unix_ms: u64) -> Option<Vec<ClaimOutcome>> {
         self.claims.retain(|c| c.expires_unix_ms > now_unix_ms);
         let mut held: BTreeSet<_> = self.claims.iter().map(|c| c.claim.clone()).collect();
@@ -210,7 +210,7 @@
         added.then(|| self.outcomes(records))
     }
 
-    /// Who has the key of each record.
+    /// The outcome for each record, depending on who holds its key.
     fn outcomes(&self, records: &[ClaimRecord]) -> Vec<ClaimOutcome> {
         let by_key: BTreeMap<_, _> = self.claims.iter().map(|c| (&c.claim, c)).collect();
         let outcome = |record: &ClaimRecord| match by_key.get(&record.claim) {
--- a/crates/azuresaddle-store/src/error.rs
+++ b/crates/azuresaddle-store/src/error.rs
@@ -1,23 +1,23 @@
-//! Failure of a call to the key-value service.
+//! Failures of calls to the key-value store.
 
 use thiserror::Error;
 
 use crate::kv::Entry;
 
-/// Why a call failed.
+/// Why a call to the store failed.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum StoreError {
-    /// The call did not reach the service, so it had no effect.
+    /// The call did not reach the store, so it had no effect.
     #[error("store unreachable: {0}")]
     Unreachable(String),
-    /// No answer came; a write may have taken effect.
+    /// The result is not known; a write may have taken effect.
     #[error("store gave no answer: {0}")]
     OutcomeUnknown(String),
-    /// The key has another version than expected.
+    /// The key has another version than expected; holds its current entry, if it exists.
     #[error("the key has changed")]
     Conflict(Option<Entry>),
-    /// The lease has lapsed.
-    #[error("the lease has lapsed")]
+    /// The lease has expired.
+    #[error("the lease has expired")]
     LeaseExpired,
     /// The stored value can't be read.
     #[error("bad value under {key}: {detail}")]
--- a/crates/azuresaddle-store/src/http_store.rs
+++ b/crates/azuresaddle-store/src/http_store.rs
@@ -1,4 +1,4 @@
-//! The key-value service over HTTP.
+//! Client of the key-value store over HTTP.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,10 +15,10 @@
     GetResponse, GrantLeaseRequest, GrantLeaseResponse, LeaseState, PutRequest, PutResponse,
 };
 
-/// Time added to a watch's wait before its connection counts as silent.
+/// Time allowed for the response to a watch beyond the wait that it asks for.
 const WATCH_TIMEOUT_MARGIN: Duration = Duration::from_secs(1);
 
-/// Client of the key-value service.
+/// Client of the platform's key-value store.
 #[derive(Clone)]
 pub struct HttpStore<N> {
     http: HttpClient<N>,
@@ -27,7 +27,7 @@
 }
 
 impl<N: Network> HttpStore<N> {
-    /// A client of the service at `addr` with a timeout for each call.
+    /// Creates a client of the store at `addr` with a timeout for each call.
     pub fn new(http: HttpClient<N>, addr: SocketAddr, timeout: Duration) -> Self {
         Self {
             http,
@@ -70,7 +70,8 @@
         match done {
             Ok(done) => Ok(done.version),
             Err(HttpError::Status { status, .. }) if status == StatusCode::CONFLICT => {
-                // The body of a failure is cut short, so the present value is read on its own.
+                // The body of a failure response is truncated, so the current value is read
+                // separately.
                 Err(StoreError::Conflict(self.get(key).await?))
             }
             Err(e) => Err(to_store_error(e)),
--- a/crates/azuresaddle-store/src/kv.rs
+++ b/crates/azuresaddle-store/src/kv.rs
@@ -1,4 +1,4 @@
-//! The operations that the platform's service offers.
+//! Interface of the platform's key-value store.
 
 use std::future::Future;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 #[serde(transparent)]
 pub struct KeyVersion(pub u64);
 
-/// Position in the service's history of changes.
+/// Position in the store's history of changes.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -34,35 +34,35 @@
 pub struct Entry {
     /// The key.
     pub key: String,
-    /// The value, at most a megabyte.
+    /// The value, at most one megabyte.
     pub value: String,
     /// Version of the key.
     pub version: KeyVersion,
 }
 
-/// What a watch returned.
+/// Result of a watch.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Changes {
-    /// Position to watch from next.
+    /// Revision from which to continue the watch.
     pub revision: Revision,
-    /// Keys that changed, with their present values.
+    /// Keys that changed, with their current values.
     pub entries: Vec<Entry>,
 }
 
-/// A key-value service with compare-and-swap, leases and bounded watches.
+/// A key-value store with compare-and-swap, leases and watches with a timeout.
 pub trait KeyValueStore: Clone + Send + Sync + 'static {
     /// Reads a key.
     ///
     /// # Errors
-    /// Where the service does not answer.
+    /// Returns an error if the store does not answer.
     fn get(&self, key: &str) -> impl Future<Output = Result<Option<Entry>, StoreError>> + Send;
 
     /// Writes a key if it has the expected version.
     ///
     /// # Errors
-    /// [`StoreError::Conflict`] where it has another, [`StoreError::OutcomeUnknown`] where the write may
-    /// have taken effect.
+    /// Returns [`StoreError::Conflict`] if the key has another version, and
+    /// [`StoreError::OutcomeUnknown`] if the write may have taken effect.
     fn compare_and_swap(
         &self,
         key: &str,
@@ -73,32 +73,32 @@
     /// Grants a lease.
     ///
     /// # Errors
-    /// Where the service does not answer; a lease that was granted lapses by itself.
+    /// Returns an error if the store does not answer; a lease that it granted expires by itself.
     fn grant_lease(
         &self,
         ttl: Duration,
     ) -> impl Future<Output = Result<LeaseId, StoreError>> + Send;
 
-    /// Renews a lease for its time to live from now.
+    /// Renews a lease, which then expires after its time to live from now.
     ///
     /// # Errors
-    /// [`StoreError::LeaseExpired`] where it is too late.
+    /// Returns [`StoreError::LeaseExpired`] if the lease has already expired.
     fn renew_lease(&self, lease: LeaseId) -> impl Future<Output = Result<(), StoreError>> + Send;
 
-    /// Whether a lease still runs.
+    /// Whether a lease has not expired.
     ///
     /// # Errors
-    /// Where the service does not answer.
+    /// Returns an error if the store does not answer.
     fn is_lease_alive(
         &self,
         lease: LeaseId,
     ) -> impl Future<Output = Result<bool, StoreError>> + Send;
 
-    /// Waits up to `wait` for changes of keys with a prefix after a revision; returns an empty
-    /// list when none came. Revision 0 returns all keys at once.
+    /// Waits up to `wait` for changes after a revision to keys with a prefix, and returns an empty
+    /// list if there are none. With revision 0 it returns all keys immediately.
     ///
     /// # Errors
-    /// Where the service does not answer.
+    /// Returns an error if the store does not answer.
     fn watch(
         &self,
         prefix: &str,
--- a/crates/azuresaddle-store/src/lib.rs
+++ b/crates/azuresaddle-store/src/lib.rs
@@ -1,8 +1,8 @@
-//! Client of the platform's key-value service, and what is agreed and kept through it: the
-//! operators' rules, ownership of pools, and claims of idempotency keys.
+//! Client of the platform's key-value store, and the data kept in it: the operators' rules,
+//! ownership of pools, and claims of idempotency keys.
 //!
-//! An answer of the service can be lost after its write took effect. Every write here carries an
-//! identifier of its own, by which reading back tells whether it took effect.
+//! The response to a write can be lost after the write took effect. Every write here carries an
+//! identifier of its own, so that reading the value back tells whether the write took effect.
 
 mod claims;
 mod error;
@@ -23,5 +23,6 @@
 };
 pub use unix_time::unix_ms;
 
-/// Prefix of the keys that every node watches; claims are kept elsewhere, since no node watches them.
+/// Prefix of the keys that every node watches. Claims have another prefix, since no node watches
+/// them.
 pub const WATCHED_PREFIX: &str = "azuresaddle/";
--- a/crates/azuresaddle-store/src/ownership.rs
+++ b/crates/azuresaddle-store/src/ownership.rs
@@ -1,4 +1,4 @@
-//! Ownership of pools.
+//! Ownership of pools, bound to the owner's lease.
 
 use std::net::SocketAddr;
 
@@ -8,25 +8,25 @@
 use crate::error::StoreError;
 use crate::kv::{KeyValueStore, KeyVersion, LeaseId};
 
-/// Prefix of the keys of owners.
+/// Prefix of the keys of owner records.
 pub const OWNERS_PREFIX: &str = "azuresaddle/owners/";
 
-/// Lease of a pool that its owner has given up.
+/// Placeholder lease in the record of a pool that its owner has released.
 pub const NO_LEASE: LeaseId = LeaseId(0);
 
-/// Who owns a pool.
+/// Owner of a pool, as stored.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct OwnerRecord {
     /// The pool.
     pub pool: PoolId,
-    /// The owner.
+    /// The node that owns the pool.
     pub owner: HostName,
-    /// Its address for other nodes.
+    /// Address at which other nodes reach the owner.
     pub peer_addr: SocketAddr,
-    /// Fencing number of this ownership.
+    /// Fencing token of this ownership.
     pub epoch: Epoch,
-    /// The ownership ends with this lease.
+    /// Lease of the owner; the ownership ends when it expires.
     pub lease: LeaseId,
 }
 
@@ -35,12 +35,13 @@
     format!("{OWNERS_PREFIX}{pool}")
 }
 
-/// Makes a node the owner of a pool whose last owner's lease has lapsed.
+/// Makes a node the owner of a pool, if the pool has no owner or the owner's lease has expired.
 ///
-/// Returns the record in force afterwards, which is another node's where that one has the pool.
+/// Returns the current record, which names another node if that one owns the pool.
 ///
 /// # Errors
-/// Where the service does not answer, or the result stays unknown; the next call settles it.
+/// Returns an error if the store does not answer or the result stays unknown; the next call
+/// resolves an unknown result.
 pub async fn acquire_pool<S: KeyValueStore>(
     store: &S,
     pool: &PoolId,
@@ -67,7 +68,7 @@
     let value = serde_json::to_string(&record).expect("a record serializes");
     match store.compare_and_swap(&key, value, version).await {
         Ok(_) => Ok(record),
-        // The lease is in the record, so reading back tells whether a lost write was this one.
+        // The record contains the lease, so reading it back tells whether this write took effect.
         Err(StoreError::Conflict(_) | StoreError::OutcomeUnknown(_)) => {
             let (present, _) = read_owner(store, &key).await?;
             present.ok_or_else(|| StoreError::OutcomeUnknown("the owner record is gone".to_owned()))
@@ -83,10 +84,11 @@
     store.is_lease_alive(lease).await
 }
 
-/// Gives a pool up, so that another node may own it at once.
+/// Releases a pool, so that another node can acquire it immediately. Does nothing if `epoch` is
+/// not current or the pool is already released.
 ///
 /// # Errors
-/// Where the service does not answer, or the pool has another owner already.
+/// Returns an error if the store does not answer or the record changes at the same time.
 pub async fn release_pool<S: KeyValueStore>(
     store: &S,
     pool: &PoolId,
--- a/crates/azuresaddle-store/src/rules_record.rs
+++ b/crates/azuresaddle-store/src/rules_record.rs
@@ -1,4 +1,4 @@
-//! The operators' rules document in the key-value service.
+//! The operators' rules document in the key-value store.
 
 use azuresaddle_core::prelude::*;
 use azuresaddle_core::rules::RulesDocument;
@@ -9,26 +9,26 @@
 use crate::kv::{Entry, KeyValueStore, KeyVersion};
 use crate::unix_time::unix_ms;
 
-/// Key of the rules.
+/// Key of the rules record.
 pub const RULES_KEY: &str = "azuresaddle/rules";
 
-/// Most changes kept in the history.
+/// Maximum number of changes kept in the history.
 const MAX_HISTORY: usize = 50;
 
-/// Most reads and writes tried for one change.
+/// Maximum number of attempts to write one change.
 const MAX_ATTEMPTS: usize = 4;
 
 /// A rules document with its version, as stored.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct RulesRecord {
-    /// Version of the document; it only grows.
+    /// Version of the document; every change increases it.
     pub version: RulesVersion,
     /// Identifier of the change that wrote this version.
     pub change_id: u64,
     /// The document.
     pub document: RulesDocument,
-    /// Latest changes, the newest first.
+    /// Most recent changes, the newest first.
     #[serde(default)]
     pub history: Vec<ChangeSummary>,
 }
@@ -39,44 +39,45 @@
 pub struct ChangeSummary {
     /// Version that the change wrote.
     pub version: RulesVersion,
-    /// When, in milliseconds since the Unix epoch.
+    /// Time of the change, in milliseconds since the Unix epoch.
     pub at_unix_ms: u64,
-    /// What the operator said of it.
+    /// Comment of the operator.
     pub comment: String,
 }
 
-/// Why a change was not accepted.
+/// Why a change was not written.
 #[derive(Debug, Error)]
 pub enum PutRulesError {
-    /// Another change came first.
+    /// Another change was written first.
     #[error("the rules have version {}, not {base}", current.version)]
     Conflict {
         /// Version that the change was based on.
         base: RulesVersion,
-        /// The record in force.
+        /// The current record.
         current: Box<RulesRecord>,
     },
-    /// The service failed.
+    /// The store failed.
     #[error(transparent)]
     Store(#[from] StoreError),
 }
 
-/// Reads the rules; the default record where none were ever written.
+/// Reads the rules; returns the default record if none were ever written.
 ///
 /// # Errors
-/// Where the service does not answer or the stored value can't be read.
+/// Returns an error if the store does not answer or the stored value can't be parsed.
 pub async fn read_rules<S: KeyValueStore>(store: &S) -> Result<RulesRecord, StoreError> {
     let (record, _) = read_versioned(store).await?;
     Ok(record)
 }
 
-/// Writes a change that is based on a version.
+/// Writes a changed document, if `base` is still the current version.
 ///
-/// The change has an identifier, so that a write whose answer was lost is recognised on reading
-/// back, and is neither reported as a conflict nor made twice.
+/// The change has an identifier. If the response to its write is lost, reading the record back
+/// recognizes the change, so that it is neither reported as a conflict nor made twice.
 ///
 /// # Errors
-/// [`PutRulesError::Conflict`] where another change came first, with the record in force.
+/// Returns [`PutRulesError::Conflict`] with the current record if another change was written
+/// first, and [`PutRulesError::Store`] if no attempt succeeded.
 pub async fn put_rules<S: KeyValueStore>(
     store: &S,
     base: RulesVersion,
@@ -111,10 +112,10 @@
 }
 
 impl RulesRecord {
-    /// Reads a record from a stored value.
+    /// Parses a record from a stored value.
     ///
     /// # Errors
-    /// Where the value is not a record.
+    /// Returns an error if the value is not a record.
     pub fn from_entry(entry: &Entry) -> Result<Self, StoreError> {
         serde_json::from_str(&entry.value).map_err(|e| StoreError::BadValue {
             key: entry.key.clone(),
--- a/crates/azuresaddle-store/src/wire.rs
+++ b/crates/azuresaddle-store/src/wire.rs
@@ -1,6 +1,6 @@
-//! Messages of the key-value service's HTTP interface.
+//! Messages of the key-value store's HTTP interface.
 //!
-//! | call | body | answer |
+//! | call | request body | response body |
 //! |---|---|---|
 //! | `GET /v1/keys?key=K` | | [`GetResponse`] |
 //! | `PUT /v1/keys?key=K` | [`PutRequest`] | [`PutResponse`], or 409 with [`GetResponse`] |
@@ -13,7 +13,7 @@
 
 use crate::kv::{Entry, KeyVersion, LeaseId};
 
-/// Result of a read.
+/// Result of a read; also the body of a conflict.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct GetResponse {
@@ -25,9 +25,9 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct PutRequest {
-    /// New value.
+    /// The new value.
     pub value: String,
-    /// Expected version; 0 where the key must not exist.
+    /// Expected version; 0 if the key must not exist.
     pub expected: KeyVersion,
 }
 
@@ -51,7 +51,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct GrantLeaseResponse {
-    /// Its identifier.
+    /// Identifier of the lease.
     pub lease: LeaseId,
 }
 
@@ -59,6 +59,6 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct LeaseState {
-    /// Whether the lease still runs.
+    /// Whether the lease has not expired.
     pub alive: bool,
 }
