--- a/crates/azuresaddle-core/src/rules/check.rs
+++ b/crates/azuresaddle-core/src/rules/check.rs
@@ -1,4 +1,4 @@
-//! Check of a rules document before it is accepted.
+//! Validation of a rules document before it is accepted.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -9,34 +9,34 @@
 use super::rule::Rule;
 use super::then::Then;
 
-/// Bounds of a rule's priority.
+/// Allowed range of a rule's priority.
 const PRIORITY_RANGE: std::ops::RangeInclusive<i8> = -8..=8;
 
-/// Longest deadline, one day in milliseconds.
+/// Maximum deadline: one day, in milliseconds.
 const MAX_DEADLINE_MS: u64 = 24 * 60 * 60 * 1000;
 
-/// Most rules in a document.
+/// Maximum number of rules in a document.
 const MAX_RULES: usize = 1000;
 
-/// How much a finding weighs.
+/// Severity of a finding.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Severity {
-    /// The document is refused.
+    /// The document is rejected.
     Error,
-    /// The document is accepted.
+    /// The document is accepted nevertheless.
     Warning,
 }
 
-/// One thing that is wrong or suspicious.
+/// One error or suspicious setting in a document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Finding {
-    /// How much it weighs.
+    /// Whether the finding prevents the document from being accepted.
     pub severity: Severity,
     /// Path of the key, such as `rules[2].then.weight`.
     pub path: String,
-    /// What is wrong and what would be right.
+    /// What is wrong and what is expected.
     pub message: String,
 }
 
@@ -50,11 +50,11 @@
     }
 }
 
-/// Everything found in a document.
+/// All findings in a document.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct CheckReport {
-    /// Findings in the order of the document.
+    /// Findings in document order.
     pub findings: Vec<Finding>,
 }
 
@@ -83,7 +83,7 @@
     }
 }
 
-/// Checks a parsed document.
+/// Validates a parsed document.
 pub fn check(document: &RulesDocument) -> CheckReport {
     let mut report = CheckReport::default();
     if document.rules.len() > MAX_RULES {
--- a/crates/azuresaddle-core/src/rules/document.rs
+++ b/crates/azuresaddle-core/src/rules/document.rs
@@ -1,4 +1,4 @@
-//! The document that operators change.
+//! The rules document that operators edit.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,27 +8,27 @@
 use super::stop::PlannedStop;
 use crate::names::HostName;
 
-/// All rules and planned stops, accepted as one under one version.
+/// All rules and planned stops, accepted together under one version.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct RulesDocument {
-    /// Rules in order; the first that matches decides.
+    /// Rules in order; the first that matches a request applies.
     #[serde(default)]
     pub rules: Vec<Rule>,
-    /// Hosts that will be stopped.
+    /// Planned stops of hosts.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub stops: Vec<PlannedStop>,
 }
 
 impl RulesDocument {
-    /// The rule that decides, if any matches.
+    /// The rule that applies to a request, if any matches.
     pub fn first_match(&self, facts: &RequestFacts) -> Option<&Rule> {
         self.rules
             .iter()
             .find(|rule| rule.when.mismatch(facts).is_none())
     }
 
-    /// What each rule says of a request.
+    /// Explains for each rule whether it matches a request.
     pub fn explain(&self, facts: &RequestFacts) -> Vec<Explanation> {
         let mut decided = false;
         let outcome = |rule: &Rule| {
--- a/crates/azuresaddle-core/src/rules/explain.rs
+++ b/crates/azuresaddle-core/src/rules/explain.rs
@@ -20,25 +20,25 @@
     FailureDomain,
 }
 
-/// What one rule said of a request.
+/// Result of one rule for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "outcome", content = "condition", rename_all = "kebab-case")]
 pub enum RuleOutcome {
-    /// The rule decides.
+    /// The rule applies.
     Matched,
     /// A condition did not hold.
     Mismatched(Mismatch),
-    /// An earlier rule decided.
+    /// An earlier rule applies.
     NotReached,
 }
 
-/// One line of an explanation.
+/// One rule and its result for a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Explanation {
     /// Name of the rule.
     pub rule: String,
-    /// What it said.
+    /// Result of the rule.
     #[serde(flatten)]
     pub outcome: RuleOutcome,
 }
--- a/crates/azuresaddle-core/src/rules/facts.rs
+++ b/crates/azuresaddle-core/src/rules/facts.rs
@@ -1,4 +1,4 @@
-//! What rules see of a request.
+//! Properties of a request that rules can test.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,11 +8,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct RequestFacts {
-    /// Who asks.
+    /// The client account that sent the request.
     pub client_account: ClientAccount,
     /// The model, or the plain service.
     pub model: Model,
-    /// Kind that the caller states, such as `quick`; empty where it states none.
+    /// Kind that the caller states, such as `quick`; empty if it states none.
     #[serde(default)]
     pub kind: String,
     /// Length of the prompt in tokens; 0 for a plain service.
@@ -21,7 +21,7 @@
     /// Whether the request may run more than once.
     #[serde(default = "default_idempotent")]
     pub idempotent: bool,
-    /// Failure domain of the node that was asked.
+    /// Failure domain of the node that received the request.
     pub failure_domain: FailureDomain,
 }
 
--- a/crates/azuresaddle-core/src/rules/mod.rs
+++ b/crates/azuresaddle-core/src/rules/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' rules: an ordered list of when-then rules, the first match decides.
+//! The operators' rules: an ordered list of when-then rules of which the first match applies.
 
 mod check;
 mod document;
--- a/crates/azuresaddle-core/src/rules/rule.rs
+++ b/crates/azuresaddle-core/src/rules/rule.rs
@@ -11,10 +11,10 @@
 pub struct Rule {
     /// Name, unique in the document; it appears in reports and logs.
     pub name: String,
-    /// Conditions.
+    /// Conditions that a request must meet.
     #[serde(default)]
     pub when: When,
-    /// Treatment.
+    /// Treatment of the requests that meet them.
     #[serde(default)]
     pub then: Then,
 }
--- a/crates/azuresaddle-core/src/rules/stop.rs
+++ b/crates/azuresaddle-core/src/rules/stop.rs
@@ -10,7 +10,7 @@
 pub struct PlannedStop {
     /// The host.
     pub host: HostName,
-    /// From when on it takes no new work, in milliseconds since the Unix epoch; 0 for at once.
+    /// Time from which the host takes no new work, in milliseconds since the Unix epoch; 0 for now.
     #[serde(default)]
     pub at_unix_ms: u64,
 }
--- a/crates/azuresaddle-core/src/rules/then.rs
+++ b/crates/azuresaddle-core/src/rules/then.rs
@@ -1,4 +1,4 @@
-//! Treatment that a rule decides.
+//! Treatment of the requests that a rule matches.
 
 use serde::{Deserialize, Serialize};
 
@@ -12,17 +12,17 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields, default)]
 pub struct Then {
-    /// From -8 (last) to 8 (first); each step weighs as one second of waiting.
+    /// From -8 (last) to 8 (first); each step counts as much as one second of waiting.
     pub priority: i8,
-    /// When the first token is wanted, in milliseconds after the request's arrival, beyond the
-    /// time that the prefill itself takes.
+    /// Target time to the first token, in milliseconds after the request's arrival, not counting
+    /// the time that the prefill itself takes.
     pub first_token_target_ms: u64,
-    /// When the request must have ended, in milliseconds after its arrival. A caller may ask for
-    /// less, not for more.
+    /// Time limit for the whole request, in milliseconds after its arrival. A caller may ask for a
+    /// shorter one, but not for a longer one.
     pub deadline_ms: u64,
-    /// Share of the client account in contention, relative to others.
+    /// Share of the client account under contention, relative to others.
     pub weight: f64,
-    /// Worth of one completed request, for reports.
+    /// Worth of one completed request, used in reports.
     pub worth: f64,
     /// How the pool is chosen.
     pub pool: PoolChoice,
@@ -31,7 +31,7 @@
     /// Whether the request may run more than once; overrides what the caller states.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub idempotent: Option<bool>,
-    /// Refuses the request where present.
+    /// Refuses the request if present.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub refuse: Option<Refuse>,
 }
@@ -56,32 +56,33 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PoolChoice {
-    /// The pool with the shortest expected wait, with a preference for the own failure domain.
+    /// The pool with the shortest expected wait, preferring the node's own failure domain.
     #[default]
     ShortestWait,
-    /// A pool in the node's own failure domain, others only where it has none.
+    /// A pool in the node's own failure domain; others only if it has none.
     SameDomain,
 }
 
-/// Limits of one client account; absent ones do not bind.
+/// Limits of one client account; absent ones are not enforced.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields, default)]
 pub struct AccountLimits {
-    /// Most requests of the account that wait or run in one pool at a time.
+    /// Maximum number of the account's requests that wait or run in one pool at a time.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub max_in_flight: Option<u32>,
-    /// Most prompt tokens a second that one pool admits for the account, averaged over ten seconds.
+    /// Maximum number of prompt tokens per second that one pool admits for the account, averaged
+    /// over ten seconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub max_tokens_per_second: Option<f64>,
 }
 
-/// A refusal decided by a rule.
+/// Refusal of the requests that a rule matches.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Refuse {
-    /// One sentence for the caller.
+    /// One sentence that is sent to the caller.
     pub detail: String,
-    /// When to come back, in milliseconds; absent for never.
+    /// Delay before a retry, in milliseconds; absent if a retry is useless.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
 }
--- a/crates/azuresaddle-core/src/rules/token_range.rs
+++ b/crates/azuresaddle-core/src/rules/token_range.rs
@@ -2,14 +2,14 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Prompt lengths from `min` up to but without `max`, in tokens.
+/// Prompt lengths from `min` (inclusive) to `max` (exclusive), in tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct TokenRange {
-    /// Least length that matches.
+    /// Minimum length.
     #[serde(default)]
     pub min: u64,
-    /// First length that no longer matches; absent for no upper bound.
+    /// Exclusive upper bound; absent for no upper bound.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub max: Option<u64>,
 }
--- a/crates/azuresaddle-core/src/rules/when.rs
+++ b/crates/azuresaddle-core/src/rules/when.rs
@@ -11,10 +11,10 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields, default)]
 pub struct When {
-    /// Client accounts, one of which must ask.
+    /// Client accounts, one of which must have sent the request.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub client_account: Vec<ClientAccount>,
-    /// Models or plain services, one of which must be asked for.
+    /// Models or plain services, one of which must be requested.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub model: Vec<Model>,
     /// Kinds, one of which the caller must state.
@@ -26,7 +26,7 @@
     /// Whether the request must be idempotent or must not be.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub idempotent: Option<bool>,
-    /// Failure domains, in one of which the asked node must be.
+    /// Failure domains, one of which must contain the node that received the request.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub failure_domain: Vec<FailureDomain>,
 }
@@ -58,7 +58,7 @@
         None
     }
 
-    /// Whether every request that `other` matches is matched by this as well.
+    /// Whether every request that meets the conditions of `other` also meets these.
     pub fn covers(&self, other: &Self) -> bool {
         let tokens = match (&self.prompt_tokens, &other.prompt_tokens) {
             (None, _) => true,
