--- a/crates/azuresaddle-core/src/deployment/account.rs
+++ b/crates/azuresaddle-core/src/deployment/account.rs
@@ -1,14 +1,14 @@
-//! A client account as the configuration states it.
+//! A client account, as configured.
 
 use crate::names::ClientAccount;
 
-/// A client account and the keys that stand for it.
+/// A client account and its API keys.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Account {
-    /// Name that targets are told.
+    /// Name that targets receive with a request.
     pub name: ClientAccount,
-    /// Keys that callers present.
+    /// API keys, any of which authenticates a caller.
     pub api_keys: Vec<String>,
-    /// Rank that goes before that of the route; 0 is the most urgent.
+    /// Priority that overrides that of the route; 0 is the most urgent.
     pub priority: Option<u8>,
 }
--- a/crates/azuresaddle-core/src/deployment/bounds.rs
+++ b/crates/azuresaddle-core/src/deployment/bounds.rs
@@ -1,21 +1,21 @@
-//! Bounds that the operator of a deployment sets.
+//! Limits that the operator sets for a deployment.
 
 use std::time::Duration;
 
-/// Bounds of a deployment that the node keeps.
+/// Limits of a deployment that every node observes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
     /// Time between SIGTERM and SIGKILL.
     pub stop_grace: Duration,
-    /// Retries allowed for each request to a service, over all nodes.
+    /// Retry budget: retries allowed per request to a service, over all nodes.
     pub retry_ratio: f64,
-    /// Retries allowed in each window beside the ratio, over all nodes.
+    /// Retries allowed per window in addition to the ratio, over all nodes.
     pub retry_extra: f64,
     /// Length of the sliding window of the retry budget.
     pub retry_window: Duration,
-    /// Longest time to live of an answer about addresses that counts.
+    /// Maximum time to live of an answer to an address lookup.
     pub max_address_ttl: Duration,
-    /// Longest time that a memory reservation on a target may be held without renewal.
+    /// Maximum time that a memory reservation on a target may be held without renewal.
     pub max_hold: Duration,
     /// Time that work waits for a target that stopped answering.
     pub target_stall: Duration,
--- a/crates/azuresaddle-core/src/deployment/configuration.rs
+++ b/crates/azuresaddle-core/src/deployment/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration in force.
+//! The active configuration.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -6,12 +6,12 @@
 use super::{Account, RequestLimits, Route, Service};
 use crate::version::RulesVersion;
 
-/// One accepted version of the configuration, prepared for lookups.
+/// One accepted version of the configuration, indexed for lookups.
 ///
-/// Routes are kept as an ordered list of rules, longest prefix first, and the first match decides.
+/// The routes of a host are ordered by prefix length, longest first; the first match applies.
 #[derive(Clone, Debug)]
 pub struct Configuration {
-    /// Version; a node only ever moves to a higher one.
+    /// Version; a node only switches to higher ones.
     pub version: RulesVersion,
     /// Limits on what a caller may send.
     pub limits: RequestLimits,
@@ -21,17 +21,17 @@
     has_accounts: bool,
 }
 
-/// How a request's route was found.
+/// Result of a route lookup.
 #[derive(Clone, Debug)]
 pub struct RouteMatch {
-    /// The rule that matched.
+    /// The route that matched.
     pub route: Arc<Route>,
-    /// Position of the rule among those of its host, 0 first.
+    /// Index among the routes of its host, in the order of matching.
     pub position: usize,
 }
 
 impl Configuration {
-    /// Prepares a configuration for lookups.
+    /// Indexes a configuration for lookups.
     pub fn new(
         version: RulesVersion,
         limits: RequestLimits,
@@ -68,7 +68,7 @@
         }
     }
 
-    /// The first rule that matches a host and path, with its position for `explain`.
+    /// The first route that matches a host and path; a port in `host` is ignored.
     pub fn route(&self, host: &str, path: &str) -> Option<RouteMatch> {
         let host = host.split(':').next().unwrap_or(host);
         let routes = match self.routes.get(host) {
@@ -90,12 +90,12 @@
         self.services.values()
     }
 
-    /// The account that a key stands for.
+    /// The client account that an API key belongs to.
     pub fn account(&self, key: &str) -> Option<&Arc<Account>> {
         self.accounts_by_key.get(key)
     }
 
-    /// Whether callers have to present a key at all.
+    /// Whether client accounts are configured; without them no caller needs an API key.
     pub fn has_accounts(&self) -> bool {
         self.has_accounts
     }
--- a/crates/azuresaddle-core/src/deployment/mod.rs
+++ b/crates/azuresaddle-core/src/deployment/mod.rs
@@ -1,6 +1,6 @@
-//! What a deployment consists of: settings of a node, the configuration in force, its targets.
+//! Data of a deployment: settings of a node, the active configuration and the targets.
 //!
-//! Plain data with the project's own names; the adapter of a platform fills it in.
+//! The types do not depend on a platform's formats; the platform's adapter fills them in.
 
 mod account;
 mod bounds;
--- a/crates/azuresaddle-core/src/deployment/node_settings.rs
+++ b/crates/azuresaddle-core/src/deployment/node_settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a node that a platform hands over.
+//! Settings of a node that the platform provides.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -9,15 +9,15 @@
 /// Addresses that a node listens on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListenAddrs {
-    /// Requests of callers.
+    /// Address for callers' requests.
     pub callers: SocketAddr,
-    /// Readiness checks of the platform.
+    /// Address for the platform's readiness checks.
     pub readiness: SocketAddr,
-    /// Questions for addresses.
+    /// Address for lookups of node addresses.
     pub directory: SocketAddr,
 }
 
-/// What a node is told at its start.
+/// Settings that a node gets at its start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeSettings {
     /// Name of the host.
@@ -28,20 +28,20 @@
     pub ip: Ipv4Addr,
     /// Listen addresses.
     pub listen: ListenAddrs,
-    /// Port for datagrams between nodes, the same on all hosts.
+    /// UDP port for datagrams between nodes, the same on all hosts.
     pub heartbeat_port: u16,
-    /// Port for calls between nodes, the same on all hosts.
+    /// TCP port for RPC between nodes, the same on all hosts.
     pub peer_port: u16,
-    /// Hosts that may run a node; some may be gone.
+    /// Addresses of hosts that may run a node; some may no longer exist.
     pub seeds: Vec<Ipv4Addr>,
     /// Address of the platform's store.
     pub store: SocketAddr,
     /// Interval of the targets' heartbeats.
     pub target_heartbeat: Duration,
-    /// Share of a core that the host offers.
+    /// CPU quota of the host, as a share of one core.
     pub cpu_share: f64,
-    /// Memory of the process, in megabytes.
+    /// Memory limit of the process, in megabytes.
     pub memory_mb: u64,
-    /// Bounds of the deployment.
+    /// Limits that the operator sets for the deployment.
     pub bounds: Bounds,
 }
--- a/crates/azuresaddle-core/src/deployment/rate_limit.rs
+++ b/crates/azuresaddle-core/src/deployment/rate_limit.rs
@@ -9,7 +9,7 @@
 pub struct RateLimit(f64);
 
 impl RateLimit {
-    /// A limit; `None` if the number is negative or not finite.
+    /// Creates a limit; `None` if the number is negative or not finite.
     pub fn per_second(requests: f64) -> Option<Self> {
         (requests.is_finite() && requests >= 0.0).then_some(Self(requests))
     }
--- a/crates/azuresaddle-core/src/deployment/request_limits.rs
+++ b/crates/azuresaddle-core/src/deployment/request_limits.rs
@@ -5,18 +5,18 @@
 /// Limits on requests and on idle connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestLimits {
-    /// Most bytes of a head.
+    /// Maximum size of a request head, in bytes.
     pub max_header_bytes: usize,
-    /// Most bytes of a body.
+    /// Maximum size of a request body, in bytes.
     pub max_body_bytes: usize,
-    /// Longest time for a head.
+    /// Time limit for receiving a request head.
     pub header_timeout: Duration,
-    /// Longest time that a connection may stay idle.
+    /// Maximum time that a connection may stay idle.
     pub idle_timeout: Duration,
 }
 
 impl Default for RequestLimits {
-    /// Limits until a configuration states others.
+    /// Limits that apply until a configuration is in force.
     fn default() -> Self {
         Self {
             max_header_bytes: 16 << 10,
--- a/crates/azuresaddle-core/src/deployment/route.rs
+++ b/crates/azuresaddle-core/src/deployment/route.rs
@@ -1,4 +1,4 @@
-//! A rule that sends requests to services.
+//! A route, which assigns requests to services.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,46 +12,46 @@
     AtMostOnce,
 }
 
-/// A service and its part of a route's requests.
+/// A service and its share of a route's requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WeightedService {
     /// Name of the service.
     pub service: Arc<str>,
-    /// Part, against the sum of all weights of the route.
+    /// Weight, relative to the sum of the route's weights.
     pub weight: u32,
 }
 
-/// What happens with requests of one host and path prefix.
+/// How requests for one host and path prefix are handled.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Route {
     /// Name for logs.
     pub name: Arc<str>,
-    /// Host that the caller names.
+    /// Host name in the caller's request.
     pub host: String,
     /// Prefix of the path; begins and ends with a slash.
     pub prefix: String,
-    /// Whether a request may run again after a failure.
+    /// Whether a request that may have run can be sent again after a failure.
     pub idempotency: Idempotency,
     /// Whether the answer is a stream of events.
     pub is_stream: bool,
-    /// Longest time that a request may take.
+    /// Time limit for a whole request.
     pub timeout: Duration,
-    /// Time within which an answer (or the first event) is on time.
+    /// Time within which an answer (or the first event of a stream) is on time.
     pub latency_target: Duration,
-    /// Longest pause between events of an answer on time.
+    /// Maximum pause between events for a stream to be on time.
     pub pause_target: Option<Duration>,
-    /// Rank; 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// Services that requests go to.
+    /// Services that share the requests.
     pub services: Vec<WeightedService>,
-    /// Most targets that one request may be sent to.
+    /// Maximum number of targets that one request may be sent to.
     pub max_attempts: u32,
-    /// Whether no key is asked for.
+    /// Whether requests need no API key.
     pub is_public: bool,
 }
 
 impl Route {
-    /// The service at a position between 0 and 1 of the weights.
+    /// The service at `fraction` (from 0 to 1) of the cumulative weights.
     pub fn pick_service(&self, fraction: f64) -> Option<&Arc<str>> {
         let total: u32 = self.services.iter().map(|s| s.weight).sum();
         let mut left = fraction * f64::from(total);
--- a/crates/azuresaddle-core/src/deployment/service.rs
+++ b/crates/azuresaddle-core/src/deployment/service.rs
@@ -9,10 +9,10 @@
 pub struct Service {
     /// Name.
     pub name: Arc<str>,
-    /// Path of the health check.
+    /// Path for health checks of its targets.
     pub health_path: String,
-    /// Connections that one target accepts from all nodes together.
+    /// Maximum number of connections that one target accepts from all nodes together.
     pub max_connections: u32,
-    /// Speeds and sizes where the targets are model engines.
+    /// Performance model, if the targets are model engines.
     pub engine: Option<EngineSpec>,
 }
--- a/crates/azuresaddle-core/src/deployment/target_entry.rs
+++ b/crates/azuresaddle-core/src/deployment/target_entry.rs
@@ -1,4 +1,4 @@
-//! What a target says of itself.
+//! Registry entry in which a target describes itself.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,48 +12,50 @@
 pub enum TargetState {
     /// Takes new work.
     Ready,
-    /// Finishes what it has.
+    /// Finishes its running work and takes no new work.
     Draining,
 }
 
-/// When a target started: Unix time in milliseconds by the target's own clock; 0 where it does not say.
+/// When a target started, in milliseconds since the Unix epoch by the target's own clock; 0 if
+/// unknown.
 ///
-/// A target may start again under its name; a later start knows nothing of an earlier one.
+/// It tells apart the runs of a target that restarts under the same name and has lost the state of
+/// the earlier run.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct TargetStart(pub u64);
 
 impl TargetStart {
-    /// Whether the target says when it started.
+    /// Whether the target has stated when it started.
     pub fn is_known(self) -> bool {
         self.0 > 0
     }
 }
 
-/// One start of a target.
+/// Registry entry of one run of a target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TargetEntry {
-    /// Name, which a later start may bear again.
+    /// Name; a later run may have the same.
     pub id: HostName,
     /// Service that it offers.
     pub service: Arc<str>,
-    /// Where it listens.
+    /// Address that it listens on.
     pub addr: SocketAddr,
     /// Failure domain of its host.
     pub domain: FailureDomain,
-    /// Requests that it runs at a time.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
     /// Whether it takes new work.
     pub state: TargetState,
     /// When it started.
     pub started: TargetStart,
-    /// Number of the entry among those of one start; a lower one was written earlier.
+    /// Sequence number among the entries of one run; a lower one was written earlier.
     pub sequence: u64,
 }
 
 impl TargetEntry {
-    /// Whether both say the same but for their number, which grows all the time.
+    /// Whether both are equal except for the sequence number, which grows with every update.
     pub fn eq_ignoring_sequence(&self, other: &Self) -> bool {
         let renumbered = Self {
             sequence: other.sequence,
