--- a/crates/azuresaddle-core/src/fingerprint.rs
+++ b/crates/azuresaddle-core/src/fingerprint.rs
@@ -1,4 +1,4 @@
-//! What tells that a request comes again.
+//! Fingerprint that recognizes repeated requests.
 
 use std::fmt;
 use std::num::ParseIntError;
@@ -7,18 +7,20 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::Xxh3;
 
-/// Identifies a request by what it asks, over all its attempts and on every node.
+/// Identifies a request by a hash of its content, which is the same for all attempts and on all
+/// nodes.
 ///
-/// Two requests with the same fingerprint ask the same; the 128 bits make it unlikely that others share one.
+/// At 128 bits it is unlikely that requests with different content share a fingerprint.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Fingerprint(u128);
 
 impl Fingerprint {
-    /// The fingerprint of a request's parts, in their order.
+    /// Computes the fingerprint of a request from its parts, in order.
     pub fn of(parts: &[&[u8]]) -> Self {
         let mut hash = Xxh3::new();
         for part in parts {
-            // The length keeps a byte from passing from one part to the next.
+            // The length marks the boundary, so that moving a byte from one part to the next
+            // changes the fingerprint.
             hash.update(&(part.len() as u64).to_le_bytes());
             hash.update(part);
         }
--- a/crates/azuresaddle-core/src/host_list.rs
+++ b/crates/azuresaddle-core/src/host_list.rs
@@ -14,24 +14,24 @@
     rename_all_fields = "kebab-case"
 )]
 pub enum HostKind {
-    /// A node of this system.
+    /// An entry host, which runs a node of this system.
     Entry {
-        /// Address for other nodes.
+        /// Address at which other nodes reach it.
         peer_addr: SocketAddr,
     },
     /// A model engine.
     Engine {
         /// The model it serves.
         model: Model,
-        /// Memory in tokens.
+        /// KV-cache capacity, in tokens.
         memory_tokens: u64,
-        /// Whether it refuses orders that carry an old fencing number.
+        /// Whether it rejects requests that carry an outdated fencing token.
         #[serde(default)]
         checks_fencing: bool,
     },
-    /// A plain service.
+    /// A plain service, which is not a model engine.
     Service {
-        /// The name that callers use in the path.
+        /// Name of the service in the path of a request.
         service: Model,
     },
 }
@@ -42,11 +42,11 @@
 pub struct Host {
     /// Name of the host, unique in the list.
     pub name: HostName,
-    /// Address for callers (entry host) or for requests (target).
+    /// Address for callers (entry host) or for forwarded requests (target).
     pub addr: SocketAddr,
     /// Failure domain of the host.
     pub domain: FailureDomain,
-    /// Whether the host is about to go away.
+    /// Whether the host is about to be removed.
     #[serde(default)]
     pub leaving: bool,
     /// What runs there.
@@ -54,10 +54,10 @@
     pub kind: HostKind,
 }
 
-/// The whole list as the platform gives it.
+/// The host list as returned by the platform.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct HostList {
-    /// All hosts, in the order of their names.
+    /// All hosts, sorted by name.
     pub hosts: Vec<Host>,
 }
--- a/crates/azuresaddle-core/src/http/body.rs
+++ b/crates/azuresaddle-core/src/http/body.rs
@@ -1,4 +1,4 @@
-//! Bodies and their limits.
+//! HTTP message bodies, and limits on reading them.
 
 use std::time::Duration;
 
@@ -8,10 +8,10 @@
 use std::convert::Infallible;
 use thiserror::Error;
 
-/// A response body: whole, or streamed.
+/// A response body, complete or streamed.
 pub type Body = BoxBody<Bytes, Infallible>;
 
-/// Why a request body was not taken.
+/// Why a body could not be read.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum BodyError {
     /// The body is longer than the limit.
@@ -25,7 +25,7 @@
     Broken,
 }
 
-/// A body that is there as a whole.
+/// Makes a body from bytes that are already complete.
 pub fn full(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into()).boxed()
 }
@@ -33,7 +33,7 @@
 /// Reads a body of at most `limit` bytes within `timeout`.
 ///
 /// # Errors
-/// Where the body is longer, slower or breaks off.
+/// Returns an error if the body exceeds either limit or the connection breaks.
 pub async fn read_limited<B>(body: B, limit: usize, timeout: Duration) -> Result<Bytes, BodyError>
 where
     B: hyper::body::Body<Data = Bytes>,
--- a/crates/azuresaddle-core/src/http/client.rs
+++ b/crates/azuresaddle-core/src/http/client.rs
@@ -1,4 +1,4 @@
-//! HTTP client over the network seam.
+//! HTTP client on top of [`Network`].
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,19 +18,20 @@
 use crate::net::Network;
 use crate::spawner::Spawner;
 
-/// Longest wait for a connection.
+/// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Longest JSON response, in bytes.
+/// Maximum size of a JSON response, in bytes.
 const MAX_RESPONSE_BYTES: usize = 16 << 20;
 
-/// Longest part of a failure body that is kept for the error, in characters.
+/// Maximum length of a failure body kept in [`HttpError::Status`], in characters.
 const MAX_ERROR_CHARS: usize = 300;
 
-/// Sends requests, each on a connection of its own.
+/// Sends HTTP requests, each on a new connection.
 ///
-/// A connection can go silent for good while new ones work, so none outlives its request. At the
-/// target size a node opens about twenty a second, which costs far less than a request does.
+/// Connections are not reused, since an open connection can go silent permanently while new ones
+/// work. At the intended deployment size a node opens about twenty connections a second, and
+/// opening one costs far less than a request.
 #[derive(Clone)]
 pub struct HttpClient<N> {
     net: N,
@@ -38,15 +39,16 @@
 }
 
 impl<N: Network> HttpClient<N> {
-    /// A client whose connections are driven by `spawner`.
+    /// Creates a client that spawns its connection tasks on `spawner`.
     pub fn new(net: N, spawner: Spawner) -> Self {
         Self { net, spawner }
     }
 
-    /// Sends a request and returns the response's head; the body streams.
+    /// Sends a request and returns the response head; the body is streamed.
     ///
     /// # Errors
-    /// Where no connection is made, it breaks, or the head does not arrive within `timeout`.
+    /// Returns an error if no connection is made, the connection breaks or the response head does
+    /// not arrive within `timeout`.
     pub async fn send(
         &self,
         addr: SocketAddr,
@@ -65,7 +67,7 @@
         let exchange = async {
             let (mut tx, conn) = http1::handshake(TokioIo::new(stream)).await?;
             self.spawner.spawn(async move {
-                // A broken connection shows up at the sender and the body.
+                // Connection errors are also reported by the sender and the response body.
                 let _ = conn.await;
             });
             tx.send_request(req).await
@@ -76,10 +78,10 @@
             .map_err(HttpError::Exchange)
     }
 
-    /// Sends JSON and reads JSON; `None` sends an empty body.
+    /// Sends a JSON body and parses a JSON response; `None` sends an empty body.
     ///
     /// # Errors
-    /// As [`Self::send`] and [`read_json`].
+    /// Same as [`Self::send`] and [`read_json`].
     pub async fn json<Q: Serialize + Sync, R: DeserializeOwned>(
         &self,
         method: Method,
@@ -92,10 +94,10 @@
         read_json(resp, timeout).await
     }
 
-    /// Sends JSON and returns the response's head; `None` sends an empty body.
+    /// Sends a JSON body and returns the response head; `None` sends an empty body.
     ///
     /// # Errors
-    /// As [`Self::send`].
+    /// Same as [`Self::send`].
     pub async fn send_json<Q: Serialize + Sync>(
         &self,
         method: Method,
@@ -117,10 +119,10 @@
         self.send(addr, req, timeout).await
     }
 
-    /// Reads JSON with `GET`.
+    /// Sends a `GET` request and parses a JSON response.
     ///
     /// # Errors
-    /// As [`Self::json`].
+    /// Same as [`Self::json`].
     pub async fn get<R: DeserializeOwned>(
         &self,
         addr: SocketAddr,
@@ -132,10 +134,11 @@
     }
 }
 
-/// Reads the JSON of a response whose head has come.
+/// Reads and parses the JSON body of a response.
 ///
 /// # Errors
-/// Where the body does not arrive within `timeout`, the status is not a success or the body is not the type.
+/// Returns an error if the body does not arrive within `timeout`, the status is not a success or
+/// the body can't be parsed as `R`.
 pub async fn read_json<R: DeserializeOwned>(
     resp: Response<Incoming>,
     timeout: Duration,
--- a/crates/azuresaddle-core/src/http/error.rs
+++ b/crates/azuresaddle-core/src/http/error.rs
@@ -1,4 +1,4 @@
-//! Failure of an HTTP exchange, split by whether the request was written.
+//! Failures of an HTTP exchange, separated by whether the request may have been sent.
 
 use std::io;
 
@@ -36,7 +36,7 @@
 }
 
 impl HttpError {
-    /// What the failure says about the execution of the request.
+    /// Whether the server may have executed the request.
     pub fn verdict(&self) -> Verdict {
         match self {
             Self::Connect(_) | Self::ConnectTimeout => Verdict::NotRun,
--- a/crates/azuresaddle-core/src/http/mod.rs
+++ b/crates/azuresaddle-core/src/http/mod.rs
@@ -1,4 +1,4 @@
-//! HTTP helpers on both sides, by hyper.
+//! HTTP client and server helpers on top of hyper.
 
 mod body;
 mod client;
--- a/crates/azuresaddle-core/src/http/respond.rs
+++ b/crates/azuresaddle-core/src/http/respond.rs
@@ -1,4 +1,4 @@
-//! Common responses.
+//! JSON and problem responses.
 
 use hyper::header::{CONTENT_TYPE, RETRY_AFTER};
 use hyper::{Response, StatusCode};
@@ -7,16 +7,16 @@
 use super::body::{Body, full};
 use crate::problem::Problem;
 
-/// Media type of a problem body.
+/// Media type of a problem body (RFC 9457).
 const PROBLEM_JSON: &str = "application/problem+json";
 
-/// A JSON response.
+/// Builds a JSON response.
 pub fn json<T: Serialize>(status: StatusCode, value: &T) -> Response<Body> {
     let bytes = serde_json::to_vec(value).expect("wire types serialize");
     build(status, "application/json", bytes)
 }
 
-/// A failure response; `Retry-After` is in whole seconds, rounded up.
+/// Builds a failure response; its `Retry-After` header is rounded up to whole seconds.
 pub fn problem(problem: &Problem) -> Response<Body> {
     let bytes = serde_json::to_vec(problem).expect("a problem serializes");
     let mut response = build(problem.status_code(), PROBLEM_JSON, bytes);
--- a/crates/azuresaddle-core/src/http/server.rs
+++ b/crates/azuresaddle-core/src/http/server.rs
@@ -1,4 +1,4 @@
-//! HTTP server over the network seam.
+//! HTTP server on top of [`Listener`].
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -18,21 +18,22 @@
 use crate::problem::Problem;
 use crate::spawner::Spawner;
 
-/// Pause after a failed accept, so that a lack of descriptors does not spin.
+/// Delay after a failed accept, so that the loop does not spin while file descriptors are
+/// exhausted.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
-/// Part of a head beyond its limit that is still read, to answer with a problem that says so; a
-/// longer one is answered with a bare status.
+/// Size of the read buffer, as a multiple of the head limit. A head over the limit that fits into
+/// the buffer is answered with a problem that states the limit; a longer one gets a bare status.
 const READ_BUFFER_FACTOR: usize = 4;
 
-/// Bounds on what one server takes.
+/// Limits on the connections and request heads of one server.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerLimits {
-    /// Most connections at a time; more wait to be accepted.
+    /// Maximum number of open connections; further ones wait to be accepted.
     pub max_connections: usize,
-    /// Longest time for the head of a request.
+    /// Time limit for receiving a request head.
     pub header_timeout: Duration,
-    /// Most bytes of a request's head.
+    /// Maximum size of a request head, in bytes.
     pub max_header_bytes: usize,
 }
 
@@ -46,9 +47,9 @@
     }
 }
 
-/// Answers the requests of a server.
+/// Handles the requests of a server.
 pub trait Handler: Send + Sync + 'static {
-    /// Answers one request.
+    /// Handles one request.
     fn handle(
         self: Arc<Self>,
         req: Request<Incoming>,
@@ -97,7 +98,8 @@
             Ok::<_, Infallible>(response)
         }
     });
-    // An error here is a broken or misbehaving caller; the handler has seen its own part of it.
+    // An error here is a broken connection or an invalid request of the caller. The handler itself
+    // sees errors of the request body that it reads.
     let _ = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(limits.header_timeout)
@@ -106,7 +108,7 @@
         .await;
 }
 
-/// Checks the size of a request's head.
+/// Checks the size of a request head: path, query and header fields.
 fn check_head(req: &Request<Incoming>, limit: usize) -> Result<(), Problem> {
     let uri = req.uri().path_and_query().map_or(0, |p| p.as_str().len());
     let headers = req.headers().iter();
--- a/crates/azuresaddle-core/src/lib.rs
+++ b/crates/azuresaddle-core/src/lib.rs
@@ -1,7 +1,8 @@
-//! Shared vocabulary of azuresaddle: identifiers, verdicts, rules, the network seam and HTTP helpers.
+//! Types shared by all azuresaddle crates: identifiers, verdicts, rules, deployment data, the
+//! network abstraction and HTTP helpers.
 //!
-//! Nothing in this crate takes decisions. The other crates import the common types through
-//! [`prelude`].
+//! Scheduling and routing decisions are made in the other crates, which import the common types
+//! through [`prelude`].
 
 pub mod burn;
 pub mod deployment;
--- a/crates/azuresaddle-core/src/names.rs
+++ b/crates/azuresaddle-core/src/names.rs
@@ -13,7 +13,7 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Makes a name from text; the text is not checked.
+            /// Creates a name from text without validating it.
             pub fn new(text: impl AsRef<str>) -> Self {
                 Self(Arc::from(text.as_ref()))
             }
@@ -57,6 +57,6 @@
     ClientAccount
 );
 name_type!(
-    /// Name of a model, or of a plain service.
+    /// Name of a model, or of a plain service (one that is not a model engine).
     Model
 );
--- a/crates/azuresaddle-core/src/net/mod.rs
+++ b/crates/azuresaddle-core/src/net/mod.rs
@@ -1,4 +1,4 @@
-//! The network seam: TCP in the daemon, duplex streams in tests on a paused clock.
+//! Network abstraction: TCP in production, in-memory duplex streams in tests with a paused clock.
 
 mod tcp;
 
@@ -12,7 +12,7 @@
 
 /// Opens and accepts byte streams.
 pub trait Network: Clone + Send + Sync + 'static {
-    /// A connection in either direction.
+    /// A connection, opened or accepted.
     type Stream: AsyncRead + AsyncWrite + Unpin + Send + 'static;
     /// A bound listener.
     type Listener: Listener<Stream = Self::Stream>;
@@ -20,13 +20,13 @@
     /// Opens a connection.
     ///
     /// # Errors
-    /// Where nothing listens at the address or it can't be reached.
+    /// Returns an error if nothing listens at the address or the host can't be reached.
     fn connect(&self, addr: SocketAddr) -> impl Future<Output = io::Result<Self::Stream>> + Send;
 
-    /// Binds a listener; port 0 takes a free port.
+    /// Binds a listener; port 0 selects a free port.
     ///
     /// # Errors
-    /// Where the address is taken or not of this host.
+    /// Returns an error if the address is in use or does not belong to this host.
     fn bind(&self, addr: SocketAddr) -> impl Future<Output = io::Result<Self::Listener>> + Send;
 }
 
@@ -38,7 +38,7 @@
     /// Waits for the next connection.
     ///
     /// # Errors
-    /// Where the process is out of descriptors or the listener is gone.
+    /// Returns an error if the process is out of file descriptors or the listener is closed.
     fn accept(&mut self) -> impl Future<Output = io::Result<Self::Stream>> + Send;
 
     /// The bound address.
--- a/crates/azuresaddle-core/src/net/tcp.rs
+++ b/crates/azuresaddle-core/src/net/tcp.rs
@@ -1,4 +1,4 @@
-//! The network of the daemon.
+//! TCP implementation of the network abstraction.
 
 use std::io;
 use std::net::SocketAddr;
@@ -9,17 +9,17 @@
 
 use super::{Listener, Network};
 
-/// Time after which a connection with unacknowledged bytes counts as broken; many round trips
-/// inside a region.
+/// TCP user timeout: a connection breaks when sent data stays unacknowledged for this long, which
+/// is many round trips within a region.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Time between probes of a connection on which nothing is sent.
+/// Idle time before the first keepalive probe, and the interval between probes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Unanswered probes after which a connection counts as broken.
+/// Number of unanswered keepalive probes after which a connection breaks.
 const MAX_KEEPALIVE_PROBES: u32 = 2;
 
-/// Real sockets.
+/// Network of the operating system's TCP sockets.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TcpNetwork;
 
--- a/crates/azuresaddle-core/src/pool_id.rs
+++ b/crates/azuresaddle-core/src/pool_id.rs
@@ -6,7 +6,7 @@
 
 use crate::names::{FailureDomain, Model};
 
-/// The targets that serve one model in one failure domain, scheduled as one.
+/// Identifies a pool: targets that serve one model in one failure domain, scheduled together.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct PoolId {
@@ -14,7 +14,7 @@
     pub model: Model,
     /// The failure domain that the targets are in.
     pub domain: FailureDomain,
-    /// Number of the part when a model has more targets in the domain than one pool takes.
+    /// Shard number, for a model with more targets in the domain than one pool takes.
     pub shard: u16,
 }
 
--- a/crates/azuresaddle-core/src/problem.rs
+++ b/crates/azuresaddle-core/src/problem.rs
@@ -1,4 +1,4 @@
-//! Failure body of the HTTP interface.
+//! Body of failure responses of the HTTP interface.
 
 use std::time::Duration;
 
@@ -19,13 +19,13 @@
     pub detail: String,
     /// Whether the request may have run.
     pub verdict: Verdict,
-    /// When to come back, in milliseconds; absent where coming back is of no use.
+    /// Delay before a retry, in milliseconds; absent if a retry is useless.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
 }
 
 impl Problem {
-    /// A failure before any target was asked.
+    /// A failure before the request was sent to any target.
     pub fn not_run(status: StatusCode, title: &str, detail: impl Into<String>) -> Self {
         Self {
             status: status.as_u16(),
@@ -36,17 +36,17 @@
         }
     }
 
-    /// A request that the caller has to correct.
+    /// Rejection of a request that the caller has to correct (status 400).
     pub fn bad_request(detail: impl Into<String>) -> Self {
         Self::not_run(StatusCode::BAD_REQUEST, "bad-request", detail)
     }
 
-    /// A refusal under load or failure, with the time to come back.
+    /// Refusal under overload or failure, with the delay before a retry (status 503).
     pub fn unavailable(title: &str, detail: impl Into<String>, retry_after: Duration) -> Self {
         Self::not_run(StatusCode::SERVICE_UNAVAILABLE, title, detail).retry_after(retry_after)
     }
 
-    /// Sets when to come back.
+    /// Sets the delay before a retry.
     pub fn retry_after(mut self, after: Duration) -> Self {
         self.retry_after_ms = Some(u64::try_from(after.as_millis()).unwrap_or(u64::MAX));
         self
@@ -58,7 +58,7 @@
         self
     }
 
-    /// The HTTP status; an unknown code reads as an internal error.
+    /// The HTTP status; an invalid code becomes 500.
     pub fn status_code(&self) -> StatusCode {
         StatusCode::from_u16(self.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR)
     }
--- a/crates/azuresaddle-core/src/request_id.rs
+++ b/crates/azuresaddle-core/src/request_id.rs
@@ -19,7 +19,7 @@
 pub struct ParseRequestIdError;
 
 impl RequestId {
-    /// Draws a random identifier.
+    /// Generates a random identifier.
     pub fn random() -> Self {
         Self(rand::random())
     }
--- a/crates/azuresaddle-core/src/spawner.rs
+++ b/crates/azuresaddle-core/src/spawner.rs
@@ -1,4 +1,4 @@
-//! Task group of one process.
+//! Group of all tasks of one process.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -12,8 +12,8 @@
 
 /// Spawns the tasks of one process and can stop all of them at once.
 ///
-/// Everything a process runs goes through its spawner, so that a test can kill or freeze a process
-/// that shares its runtime with others.
+/// All tasks of a process are spawned here, so that a test that runs several processes in one
+/// runtime can kill or freeze one of them.
 #[derive(Clone)]
 pub struct Spawner {
     inner: Arc<Inner>,
@@ -23,11 +23,12 @@
 struct Inner {
     killed: CancellationToken,
     frozen: AtomicBool,
+    /// Wakers of the tasks that were polled while the group was frozen.
     parked: Mutex<Vec<Waker>>,
 }
 
 impl Spawner {
-    /// A task group on the given runtime.
+    /// Creates a task group on the given runtime.
     pub fn new(handle: Handle) -> Self {
         Self {
             inner: Arc::new(Inner {
@@ -39,15 +40,15 @@
         }
     }
 
-    /// A task group on the runtime of the caller.
+    /// Creates a task group on the current runtime.
     ///
     /// # Panics
-    /// Outside a runtime.
+    /// Panics if called outside a runtime.
     pub fn current() -> Self {
         Self::new(Handle::current())
     }
 
-    /// The same task group, with new tasks on another runtime.
+    /// Returns the same task group with new tasks spawned on another runtime.
     pub fn on_runtime(&self, handle: Handle) -> Self {
         Self {
             inner: Arc::clone(&self.inner),
@@ -55,7 +56,7 @@
         }
     }
 
-    /// Starts a task that ends when the group is killed.
+    /// Spawns a task that ends when the group is killed.
     pub fn spawn<F>(&self, future: F)
     where
         F: Future<Output = ()> + Send + 'static,
@@ -63,7 +64,7 @@
         self.spawn_abortable(future);
     }
 
-    /// Starts a task that ends when the group is killed, or by the handle.
+    /// Spawns a task that ends when the group is killed or the returned handle is aborted.
     pub fn spawn_abortable<F>(&self, future: F) -> AbortHandle
     where
         F: Future<Output = ()> + Send + 'static,
@@ -83,17 +84,17 @@
         join.abort_handle()
     }
 
-    /// Drops every task of the group, as `kill -9` would.
+    /// Drops every task of the group, like `kill -9`.
     pub fn kill(&self) {
         self.inner.killed.cancel();
     }
 
-    /// Stops every task of the group where it stands, as `SIGSTOP` would.
+    /// Suspends every task of the group, like `SIGSTOP`.
     pub fn freeze(&self) {
         self.inner.frozen.store(true, Ordering::SeqCst);
     }
 
-    /// Lets the tasks of a frozen group go on.
+    /// Resumes the tasks of a frozen group, like `SIGCONT`.
     pub fn thaw(&self) {
         self.inner.frozen.store(false, Ordering::SeqCst);
         let parked = std::mem::take(&mut *self.inner.lock_parked());
@@ -111,7 +112,7 @@
     }
 }
 
-/// A task's future, not polled while its group is frozen.
+/// Wraps a task's future, which is not polled while its group is frozen.
 struct FreezableTask<F> {
     inner: Arc<Inner>,
     future: Pin<Box<F>>,
--- a/crates/azuresaddle-core/src/stream_id.rs
+++ b/crates/azuresaddle-core/src/stream_id.rs
@@ -7,7 +7,7 @@
 
 use crate::request_id::{ParseRequestIdError, RequestId};
 
-/// One attempt of a request; the number tells apart attempts on successive targets.
+/// Identifies one attempt of a request; each retry on another target has a higher number.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct StreamId {
     /// The request that is attempted.
@@ -25,7 +25,7 @@
         }
     }
 
-    /// The attempt after this one; the number saturates.
+    /// The attempt after this one; the number stays at its maximum once it is reached.
     pub fn retry(self) -> Self {
         Self {
             request: self.request,
--- a/crates/azuresaddle-core/src/verdict.rs
+++ b/crates/azuresaddle-core/src/verdict.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// What is known about the execution of a request that did not get its whole answer.
+/// What is known about the execution of a request that did not get its complete answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Verdict {
@@ -17,7 +17,7 @@
 }
 
 impl Verdict {
-    /// Whether a request with this verdict may be sent to a target once more.
+    /// Whether a request with this verdict may be sent to a target again.
     pub fn may_retry(self, idempotent: bool) -> bool {
         match self {
             Self::NotRun => true,
--- a/crates/azuresaddle-core/src/version.rs
+++ b/crates/azuresaddle-core/src/version.rs
@@ -1,4 +1,4 @@
-//! Counters that only grow.
+//! Monotonically increasing numbers: fencing epochs, process incarnations and rules versions.
 
 use std::fmt;
 
@@ -29,11 +29,11 @@
 }
 
 counter_type!(
-    /// Fencing number of a pool's ownership; grows with every change of owner.
+    /// Fencing token of a pool's ownership; increases with every change of owner.
     Epoch
 );
 counter_type!(
-    /// One run of a process; a restarted process has a new one.
+    /// Identifies one run of a process; a restarted process gets a new one.
     Incarnation
 );
 counter_type!(
