--- a/crates/azuresaddle-core/src/deployment/engine_spec.rs
+++ b/crates/azuresaddle-core/src/deployment/engine_spec.rs
@@ -1,4 +1,4 @@
-//! Speeds and sizes of a model engine.
+//! Performance model of a model engine: speeds and sizes.
 
 use std::time::Duration;
 
@@ -36,7 +36,7 @@
     /// step, in milliseconds.
     #[serde(rename = "holder_hop_ms")]
     pub helper_hop_ms: f64,
-    /// Delay of the data in a load report.
+    /// Age of the data in a load report.
     pub report_lag: Duration,
     /// Mean length of an answer, in tokens.
     #[serde(rename = "usual_answer_tokens")]
--- a/crates/azuresaddle-core/src/losses/report.rs
+++ b/crates/azuresaddle-core/src/losses/report.rs
@@ -12,13 +12,13 @@
 /// Part of a request's worth that is proportional to its size relative to its route's mean.
 const SIZED_WORTH: f64 = 0.7;
 
-/// Maximum worth of a request, as a multiple of one of its route's mean size.
+/// Maximum worth of a request, relative to one of its route's mean size.
 const MAX_WORTH: f64 = 4.0;
 
-/// The largest requests of a route are one in this many.
+/// The largest size class holds one in this many requests of a route.
 const LARGEST_DIVISOR: usize = 10;
 
-/// The next largest requests of a route are one in this many.
+/// The next size class holds one in this many requests of a route.
 const LARGE_DIVISOR: usize = 5;
 
 /// Count and worth of the requests of one route that have one reason.
