--- a/crates/azuresaddle-core/src/spawner.rs
+++ b/crates/azuresaddle-core/src/spawner.rs
@@ -74,14 +74,14 @@
             inner: Arc::clone(&self.inner),
             future: Box::pin(future),
         };
-        let join = self.handle.spawn(async move {
+        let join_handle = self.handle.spawn(async move {
             tokio::select! {
                 biased;
                 () = killed.cancelled() => {}
                 () = task => {}
             }
         });
-        join.abort_handle()
+        join_handle.abort_handle()
     }
 
     /// Drops every task of the group, like `kill -9`.
