--- a/crates/azuresaddle-node/src/control/reservations.rs
+++ b/crates/azuresaddle-node/src/control/reservations.rs
@@ -4,7 +4,7 @@
 
 use azuresaddle_core::prelude::*;
 use azuresaddle_core::rules::AccountLimits;
-use azuresaddle_sched::{Action, Ask, FallbackTarget, Outcome};
+use azuresaddle_sched::{Action, FallbackTarget, Outcome, ReservationRequest};
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
@@ -103,7 +103,7 @@
             }
             ReportKind::Abandoned { target_failed } => {
                 let outcome = if target_failed {
-                    owned.pool.on_suspect(now, stream);
+                    owned.pool.on_unconfirmed_failure(now, stream);
                     Outcome::TargetFailed
                 } else {
                     Outcome::Cancelled
@@ -227,8 +227,8 @@
     }
 }
 
-fn to_ask(now: Instant, req: ReserveRequest) -> Ask {
-    Ask {
+fn to_ask(now: Instant, req: ReserveRequest) -> ReservationRequest {
+    ReservationRequest {
         stream: req.stream,
         node: req.node,
         account: req.account,
--- a/crates/azuresaddle-sched/benches/decide.rs
+++ b/crates/azuresaddle-sched/benches/decide.rs
@@ -3,12 +3,12 @@
 use std::time::Duration;
 
 use azuresaddle_core::prelude::*;
-use azuresaddle_sched::{Action, Ask, Outcome, Pool, PoolOptions, TargetSpec};
+use azuresaddle_sched::{Action, Outcome, Pool, PoolOptions, ReservationRequest, TargetSpec};
 use criterion::{BenchmarkId, Criterion, criterion_main};
 use tokio::time::Instant;
 
-fn ask(number: u128, now: Instant) -> Ask {
-    Ask {
+fn request(number: u128, now: Instant) -> ReservationRequest {
+    ReservationRequest {
         stream: StreamId::first(RequestId(number)),
         node: HostName::new("n"),
         account: ClientAccount::new(["a", "b", "c", "d"][number as usize % 4]),
@@ -44,7 +44,7 @@
     }
     let total = targets as u128 + waiting;
     for number in 0..total {
-        pool.enqueue(now, ask(number, now));
+        pool.enqueue(now, request(number, now));
     }
     pool.dispatch(now);
     let running = reserved(&mut pool);
@@ -70,7 +70,7 @@
             group.bench_function(id, |b| {
                 b.iter(|| {
                     next += 1;
-                    pool.enqueue(now, ask(next, now));
+                    pool.enqueue(now, request(next, now));
                     if let Some(stream) = running.pop() {
                         pool.on_first_token(now, stream);
                         pool.on_end(now, stream, Outcome::Done { tokens: 400 });
--- a/crates/azuresaddle-sched/src/breaker.rs
+++ b/crates/azuresaddle-sched/src/breaker.rs
@@ -8,31 +8,31 @@
 const FAILURES_TO_OPEN: u32 = 2;
 
 /// First pause after the breaker opens.
-const FIRST_PAUSE: Duration = Duration::from_secs(1);
+const INITIAL_OPEN_TIME: Duration = Duration::from_secs(1);
 
 /// Longest pause.
-const MAX_PAUSE: Duration = Duration::from_secs(30);
+const MAX_OPEN_TIME: Duration = Duration::from_secs(30);
 
 /// Reservations allowed at a time at which the breaker counts as closed.
-const FULL_RETURN: u32 = 16;
+const FULL_RECOVERY: u32 = 16;
 
 /// Keeps work from a failing target and lets it return step by step.
 #[derive(Clone, Debug)]
 pub struct Breaker {
     failures: u32,
-    pause: Duration,
+    open_time: Duration,
     open_until: Option<Instant>,
     /// Reservations allowed at a time during the return; `None` when closed.
-    allowance: Option<u32>,
+    max_concurrent: Option<u32>,
 }
 
 impl Default for Breaker {
     fn default() -> Self {
         Self {
             failures: 0,
-            pause: FIRST_PAUSE,
+            open_time: INITIAL_OPEN_TIME,
             open_until: None,
-            allowance: None,
+            max_concurrent: None,
         }
     }
 }
@@ -43,8 +43,8 @@
         if self.open_until.is_some_and(|until| now < until) {
             return false;
         }
-        self.allowance
-            .is_none_or(|allowance| running < allowance as usize)
+        self.max_concurrent
+            .is_none_or(|max_concurrent| running < max_concurrent as usize)
     }
 
     /// When the breaker lets a request through again, while it is open.
@@ -55,13 +55,13 @@
     /// Notes a request that the target served.
     pub fn on_success(&mut self) {
         self.failures = 0;
-        let Some(allowance) = self.allowance else {
+        let Some(max_concurrent) = self.max_concurrent else {
             return;
         };
-        let doubled = allowance * 2;
-        self.allowance = (doubled < FULL_RETURN).then_some(doubled);
-        if self.allowance.is_none() {
-            self.pause = FIRST_PAUSE;
+        let doubled = max_concurrent * 2;
+        self.max_concurrent = (doubled < FULL_RECOVERY).then_some(doubled);
+        if self.max_concurrent.is_none() {
+            self.open_time = INITIAL_OPEN_TIME;
             self.open_until = None;
         }
     }
@@ -75,24 +75,24 @@
         if self.failures < FAILURES_TO_OPEN || self.open_until(now).is_some() {
             return;
         }
-        self.open_until = Some(now + time.min(FIRST_PAUSE));
-        self.allowance.get_or_insert(1);
+        self.open_until = Some(now + time.min(INITIAL_OPEN_TIME));
+        self.max_concurrent.get_or_insert(1);
     }
 
     /// Notes a request that the target failed.
     pub fn on_failure(&mut self, now: Instant) {
         self.failures += 1;
-        let returning = self.allowance.is_some();
-        if self.failures < FAILURES_TO_OPEN && !returning {
+        let recovering = self.max_concurrent.is_some();
+        if self.failures < FAILURES_TO_OPEN && !recovering {
             return;
         }
         if self.open_until(now).is_some() {
             return;
         }
-        if returning {
-            self.pause = (self.pause * 2).min(MAX_PAUSE);
+        if recovering {
+            self.open_time = (self.open_time * 2).min(MAX_OPEN_TIME);
         }
-        self.open_until = Some(now + self.pause);
-        self.allowance = Some(1);
+        self.open_until = Some(now + self.open_time);
+        self.max_concurrent = Some(1);
     }
 }
--- a/crates/azuresaddle-sched/src/demand.rs
+++ b/crates/azuresaddle-sched/src/demand.rs
@@ -11,7 +11,7 @@
 const WINDOWS: [Duration; 2] = [Duration::from_secs(60), Duration::from_secs(300)];
 
 /// Targets kept for short prompts beyond their mean load, in standard deviations of that load.
-const SAFETY: f64 = 0.6;
+const STAFFING_MARGIN: f64 = 0.6;
 
 /// Part of the targets that may run long prefills before any load is known.
 const INITIAL_LONG_SHARE: f64 = 0.8;
@@ -68,7 +68,7 @@
         if short == 0.0 && self.updated == self.started {
             return ((total * INITIAL_LONG_SHARE) as usize).max(1);
         }
-        let kept = short + SAFETY * short.sqrt();
+        let kept = short + STAFFING_MARGIN * short.sqrt();
         let needed = self.load(Class::Long) / MAX_LONG_UTILIZATION;
         let allowed = (total - kept).max(needed.min(total - short));
         (allowed.floor() as usize).clamp(1, targets - 1)
--- a/crates/azuresaddle-sched/src/lib.rs
+++ b/crates/azuresaddle-sched/src/lib.rs
@@ -4,7 +4,6 @@
 //! tests on a paused clock and in the experiment tool, so what is measured is what runs.
 
 mod action;
-mod ask;
 mod breaker;
 mod class;
 mod demand;
@@ -23,11 +22,11 @@
 mod rate;
 mod rate_bucket;
 mod reservation;
+mod reservation_request;
 mod retry_budget;
 mod target;
 
 pub use action::{Action, Grant, Refusal, RefusalReason};
-pub use ask::Ask;
 pub use breaker::Breaker;
 pub use class::Class;
 pub use fallback::{FallbackPlacer, FallbackTarget};
@@ -38,4 +37,5 @@
 pub use prefix_index::{CacheEvent, CacheEventKind, PrefixIndex};
 pub use rate_bucket::RateBucket;
 pub use reservation::LiveStream;
+pub use reservation_request::ReservationRequest;
 pub use target::TargetSpec;
--- a/crates/azuresaddle-sched/src/options.rs
+++ b/crates/azuresaddle-sched/src/options.rs
@@ -14,7 +14,7 @@
     /// Most waiting requests.
     pub max_waiting: usize,
     /// How long before a prefill's expected end the next short one is sent to the same target.
-    pub ready_ahead: Duration,
+    pub prefill_lead_time: Duration,
     /// Separate queues by class and a bound on targets that run long prefills.
     pub separate_classes: bool,
     /// Order by least slack; first come, first served otherwise.
@@ -38,7 +38,7 @@
             initial_prefill_rate: 40_000.0,
             initial_decode_step: Duration::from_millis(20),
             max_waiting: 20_000,
-            ready_ahead: Duration::from_millis(4),
+            prefill_lead_time: Duration::from_millis(4),
             separate_classes: true,
             order_by_slack: true,
             backfill: true,
@@ -54,7 +54,7 @@
     /// One queue in order of arrival, with late binding and an exact ledger only.
     pub fn fifo() -> Self {
         Self {
-            ready_ahead: Duration::ZERO,
+            prefill_lead_time: Duration::ZERO,
             separate_classes: false,
             order_by_slack: false,
             backfill: false,
--- a/crates/azuresaddle-sched/src/pool/admission.rs
+++ b/crates/azuresaddle-sched/src/pool/admission.rs
@@ -7,9 +7,9 @@
 
 use super::Pool;
 use crate::action::{Action, Refusal, RefusalReason};
-use crate::ask::Ask;
 use crate::class::Class;
-use crate::queue::{Entry, WaitKey};
+use crate::queue::{QueueEntry, WaitKey};
+use crate::reservation_request::ReservationRequest;
 
 /// Weight of one step of priority, as time in the queue.
 const PRIORITY_STEP: Duration = Duration::from_secs(1);
@@ -25,43 +25,47 @@
 
 impl Pool {
     /// Takes a request; it is reserved or refused by a later action. A repeated one is ignored.
-    pub fn enqueue(&mut self, now: Instant, ask: Ask) {
-        if self.knows(ask.stream) {
+    pub fn enqueue(&mut self, now: Instant, request: ReservationRequest) {
+        if self.knows(request.stream) {
             return;
         }
-        let stream = ask.stream;
-        if let Err(refusal) = self.admit(now, ask) {
+        let stream = request.stream;
+        if let Err(refusal) = self.admit(now, request) {
             self.actions.push(Action::Refused { stream, refusal });
         }
     }
 
-    fn admit(&mut self, now: Instant, ask: Ask) -> Result<(), Refusal> {
-        self.check_room(now, &ask)?;
-        let tokens = self.best_uncached_tokens(now, &ask);
+    fn admit(&mut self, now: Instant, request: ReservationRequest) -> Result<(), Refusal> {
+        self.check_capacity(now, &request)?;
+        let tokens = self.best_uncached_tokens(now, &request);
         let class = self.class_of(tokens);
-        let prefill = Duration::from_secs_f64(tokens / self.usual_rate());
-        let members = self.members_for(&ask).max(1) as u32;
-        let start_by = self.check_deadline(now, &ask, class, prefill / members)?;
-        if ask.stream.attempt > 0 && !self.retries.take() {
+        let prefill = Duration::from_secs_f64(tokens / self.reference_rate());
+        let members = self.member_count_for(&request).max(1) as u32;
+        let start_by = self.check_deadline(now, &request, class, prefill / members)?;
+        if request.stream.attempt > 0 && !self.retries.take() {
             return Err(refusal(RefusalReason::RetryBudget, UNAVAILABLE_RETRY_AFTER));
         }
-        self.usage
-            .admit(now, &ask.account, ask.prompt_tokens, &ask.limits)?;
-        if ask.stream.attempt == 0 {
+        self.usage.admit(
+            now,
+            &request.account,
+            request.prompt_tokens,
+            &request.limits,
+        )?;
+        if request.stream.attempt == 0 {
             self.retries.on_first_try();
             self.demand.on_arrival(now, class, prefill);
         }
         let cost = prefill.as_secs_f64() / self.targets.len().max(1) as f64;
-        let tag = self.fair[class.index()].tag(&ask.account, cost, ask.weight);
+        let tag = self.fair[class.index()].tag(&request.account, cost, request.weight);
         let mut due = now;
         if self.options.order_by_slack {
-            due = due_time(now, &ask, prefill / members, start_by);
+            due = due_time(now, &request, prefill / members, start_by);
         }
         if self.options.fair_accounts {
             due += tag.ahead;
         }
-        self.queue.push(Entry {
-            ask,
+        self.queue.push(QueueEntry {
+            request,
             class,
             prefill,
             start_by,
@@ -71,13 +75,13 @@
         Ok(())
     }
 
-    fn check_room(&self, now: Instant, ask: &Ask) -> Result<(), Refusal> {
+    fn check_capacity(&self, now: Instant, request: &ReservationRequest) -> Result<(), Refusal> {
         if self.queue.len() >= self.options.max_waiting {
             return Err(refusal(RefusalReason::QueueFull, UNAVAILABLE_RETRY_AFTER));
         }
-        if self.members_for(ask) == 0 {
+        if self.member_count_for(request) == 0 {
             let total: u64 = self.targets.values().map(|t| t.spec.memory_tokens).sum();
-            if ask.memory_tokens() > total && total > 0 {
+            if request.memory_tokens() > total && total > 0 {
                 return Err(Refusal {
                     reason: RefusalReason::TooLarge,
                     retry_after: None,
@@ -99,14 +103,14 @@
     fn check_deadline(
         &self,
         now: Instant,
-        ask: &Ask,
+        request: &ReservationRequest,
         class: Class,
         prefill: Duration,
     ) -> Result<Instant, Refusal> {
-        let needed = prefill + self.answers.time_to_keep(ask.max_tokens);
-        let latest = ask.deadline.checked_sub(needed).unwrap_or(now);
+        let needed = prefill + self.answers.answer_time_allowance(request.max_tokens);
+        let latest = request.deadline.checked_sub(needed).unwrap_or(now);
         if !self.options.check_deadlines {
-            return Ok(ask.deadline);
+            return Ok(request.deadline);
         }
         let expected = now + self.expected_wait(now, class);
         if expected > latest {
@@ -120,11 +124,15 @@
 
     /// Expected wait of a new request of a class, from the work before it.
     pub(super) fn expected_wait(&self, now: Instant, class: Class) -> Duration {
-        let open = self.targets.values().filter(|t| t.is_open(now)).count();
+        let open = self
+            .targets
+            .values()
+            .filter(|t| t.accepts_work(now))
+            .count();
         let running: Duration = self
             .targets
             .values()
-            .map(|t| t.prefill_ends.saturating_duration_since(now))
+            .map(|t| t.prefill_ends_at.saturating_duration_since(now))
             .sum();
         let share = match class {
             Class::Short => open,
@@ -153,13 +161,13 @@
     /// Takes a request out of the queue without a reservation.
     pub(super) fn withdraw(&mut self, key: WaitKey) -> Option<StreamId> {
         let waiting = self.queue.remove(key)?;
-        self.usage.release(&waiting.ask.account);
+        self.usage.release(&waiting.request.account);
         self.cancel_drain_for(key);
-        self.note_if_idle(waiting.class);
-        Some(waiting.ask.stream)
+        self.reset_fairness_if_idle(waiting.class);
+        Some(waiting.request.stream)
     }
 
-    pub(super) fn note_if_idle(&mut self, class: Class) {
+    pub(super) fn reset_fairness_if_idle(&mut self, class: Class) {
         if self.queue.is_class_empty(class) {
             self.fair[class.index()].on_idle();
         }
@@ -179,12 +187,17 @@
 ///
 /// The wait allowed grows with the prefill, so that a prompt does not wait behind much longer ones,
 /// and is at most half of the time that the deadline leaves, so that the longest start in time.
-fn due_time(now: Instant, ask: &Ask, prefill: Duration, start_by: Instant) -> Instant {
-    let allowed = ask.first_token_target + prefill * WAIT_PER_PREFILL;
+fn due_time(
+    now: Instant,
+    request: &ReservationRequest,
+    prefill: Duration,
+    start_by: Instant,
+) -> Instant {
+    let allowed = request.first_token_target + prefill * WAIT_PER_PREFILL;
     let longest = start_by.saturating_duration_since(now) / 2;
     let due = now + allowed.min(longest);
-    let shift = PRIORITY_STEP * u32::from(ask.priority.unsigned_abs());
-    if ask.priority >= 0 {
+    let shift = PRIORITY_STEP * u32::from(request.priority.unsigned_abs());
+    if request.priority >= 0 {
         due.checked_sub(shift).unwrap_or(now)
     } else {
         due + shift
--- a/crates/azuresaddle-sched/src/pool/dispatch.rs
+++ b/crates/azuresaddle-sched/src/pool/dispatch.rs
@@ -7,9 +7,9 @@
 
 use super::Pool;
 use crate::action::Action;
-use crate::ask::Ask;
 use crate::class::Class;
 use crate::queue::WaitKey;
+use crate::reservation_request::ReservationRequest;
 use crate::target::{Target, TargetKey};
 
 /// Most waiting requests of a class that are tried in one pass over the queue.
@@ -19,7 +19,7 @@
 const SLOW_RATE: f64 = 0.4;
 
 /// Part of a target's memory that one prompt may take; a larger one is split over more targets.
-const MAX_SHARE: f64 = 0.5;
+const MAX_MEMORY_SHARE: f64 = 0.5;
 
 /// Pause between tries of a slow target.
 const SLOW_PROBE_INTERVAL: Duration = Duration::from_secs(5);
@@ -64,7 +64,7 @@
 
     /// Finds out what can be given to a class now.
     fn begin_round(&self, now: Instant, class: Class) -> Round {
-        let (room, none_runs) = match class {
+        let (room, none_running) = match class {
             Class::Short => (usize::MAX, false),
             Class::Long => {
                 let allowed = self.max_long_targets(now);
@@ -75,7 +75,7 @@
         Round {
             candidates: self.candidates(now, class),
             room,
-            none_runs,
+            none_running,
         }
     }
 
@@ -86,7 +86,7 @@
         self.cancel_drain_for(key);
         let class = waiting.class;
         self.fair[class.index()].on_dispatch(waiting.tag);
-        self.note_if_idle(class);
+        self.reset_fairness_if_idle(class);
         let slow_below = self.slow_rate();
         for target in targets {
             let target = &mut self.targets[*target];
@@ -101,13 +101,13 @@
     /// Targets that can take a prefill of the class now.
     fn candidates(&self, now: Instant, class: Class) -> Vec<TargetKey> {
         let ahead = match class {
-            Class::Short => self.options.ready_ahead,
+            Class::Short => self.options.prefill_lead_time,
             Class::Long => Duration::ZERO,
         };
         let slow_below = self.slow_rate();
         self.targets
             .iter()
-            .filter(|(_, t)| t.has_prefill_slot(now, ahead) && t.is_open(now))
+            .filter(|(_, t)| t.has_prefill_slot(now, ahead) && t.accepts_work(now))
             .filter(|(_, t)| t.rate.tokens_per_second() >= slow_below || now >= t.probe_at)
             .map(|(key, _)| key)
             .collect()
@@ -122,20 +122,20 @@
         most_free: u64,
     ) -> Option<Vec<TargetKey>> {
         let waiting = self.queue.get(key)?;
-        let ask = &waiting.ask;
-        let members = self.members_for(ask);
+        let request = &waiting.request;
+        let members = self.member_count_for(request);
         // One that needs more targets than the class may have runs when none of the class does.
         let room = round.room.saturating_add(self.drained_for(key));
-        if members == 0 || (members > room && !round.none_runs) {
+        if members == 0 || (members > room && !round.none_running) {
             return None;
         }
-        let memory = ask.memory_tokens().div_ceil(members as u64);
+        let memory = request.memory_tokens().div_ceil(members as u64);
         if memory > most_free {
             return None;
         }
         let allowed = |target: &Target| {
             target.free() >= memory
-                && !ask.exclude.contains(&target.spec.name)
+                && !request.exclude.contains(&target.spec.name)
                 && self.respects_drain(now, target, key, waiting.prefill)
         };
         let mut fitting: Vec<_> = round
@@ -150,7 +150,7 @@
         if members == 1 {
             let best = fitting
                 .into_iter()
-                .min_by(|a, b| self.compare(now, ask, *a, *b))?;
+                .min_by(|a, b| self.compare(now, request, *a, *b))?;
             return Some(vec![best]);
         }
         fitting.sort_by_key(|k| self.targets[*k].free());
@@ -159,11 +159,17 @@
     }
 
     /// Orders targets for a request: earliest first token, then the fullest that still fits.
-    fn compare(&self, now: Instant, ask: &Ask, a: TargetKey, b: TargetKey) -> std::cmp::Ordering {
+    fn compare(
+        &self,
+        now: Instant,
+        request: &ReservationRequest,
+        a: TargetKey,
+        b: TargetKey,
+    ) -> std::cmp::Ordering {
         let rank = |key: TargetKey| {
             let target = &self.targets[key];
-            let tokens = self.uncached_tokens(key, &ask.prefix, ask.prompt_tokens);
-            let wait = target.prefill_ends.saturating_duration_since(now);
+            let tokens = self.uncached_tokens(key, &request.prefix, request.prompt_tokens);
+            let wait = target.prefill_ends_at.saturating_duration_since(now);
             let first_token = wait + target.rate.time_for(tokens);
             // Rates differ by noise; whole milliseconds keep that from deciding.
             (first_token.as_millis(), target.free())
@@ -172,21 +178,21 @@
     }
 
     /// Targets whose memory the request needs together; 0 where the pool is too small.
-    pub(super) fn members_for(&self, ask: &Ask) -> usize {
+    pub(super) fn member_count_for(&self, request: &ReservationRequest) -> usize {
         let usable = self.targets.values();
-        let usable = usable.filter(|t| !t.leaving && !ask.exclude.contains(&t.spec.name));
+        let usable = usable.filter(|t| !t.leaving && !request.exclude.contains(&t.spec.name));
         let sizes = usable.map(|t| t.spec.memory_tokens);
-        let needed = ask.memory_tokens();
+        let needed = request.memory_tokens();
         if sizes
             .clone()
-            .any(|size| size as f64 * MAX_SHARE >= needed as f64)
+            .any(|size| size as f64 * MAX_MEMORY_SHARE >= needed as f64)
         {
             return 1;
         }
         let mut sizes: Vec<u64> = sizes.collect();
         sizes.sort_unstable_by(|a, b| b.cmp(a));
-        fewest_members(&sizes, needed, MAX_SHARE)
-            .or_else(|| fewest_members(&sizes, needed, 1.0))
+        min_member_count(&sizes, needed, MAX_MEMORY_SHARE)
+            .or_else(|| min_member_count(&sizes, needed, 1.0))
             .unwrap_or(0)
     }
 
@@ -215,22 +221,22 @@
     }
 
     /// Prompt tokens to process on the open target that has most of the prompt cached.
-    pub(super) fn best_uncached_tokens(&self, now: Instant, ask: &Ask) -> f64 {
-        if !self.options.prefix_affinity || ask.prefix.is_empty() {
-            return ask.prompt_tokens as f64;
+    pub(super) fn best_uncached_tokens(&self, now: Instant, request: &ReservationRequest) -> f64 {
+        if !self.options.prefix_affinity || request.prefix.is_empty() {
+            return request.prompt_tokens as f64;
         }
         self.targets
             .iter()
-            .filter(|(_, t)| t.is_open(now))
-            .map(|(key, _)| self.uncached_tokens(key, &ask.prefix, ask.prompt_tokens))
+            .filter(|(_, t)| t.accepts_work(now))
+            .map(|(key, _)| self.uncached_tokens(key, &request.prefix, request.prompt_tokens))
             .min_by(f64::total_cmp)
-            .unwrap_or(ask.prompt_tokens as f64)
+            .unwrap_or(request.prompt_tokens as f64)
     }
 
     /// Rate below which a target counts as slow, in tokens a second.
     fn slow_rate(&self) -> f64 {
         if self.options.avoid_slow {
-            SLOW_RATE * self.usual_rate()
+            SLOW_RATE * self.reference_rate()
         } else {
             0.0
         }
@@ -238,7 +244,7 @@
 }
 
 /// Fewest targets, the largest first, of whose memory a request needs at most `share` each.
-fn fewest_members(sizes: &[u64], needed: u64, share: f64) -> Option<usize> {
+fn min_member_count(sizes: &[u64], needed: u64, share: f64) -> Option<usize> {
     // Each member holds an equal part, so the smallest member decides.
     (1..=sizes.len()).find(|n| sizes[n - 1] as f64 * share >= needed.div_ceil(*n as u64) as f64)
 }
@@ -249,5 +255,5 @@
     /// Targets that the class may still take.
     room: usize,
     /// Whether nothing of the class runs.
-    none_runs: bool,
+    none_running: bool,
 }
--- a/crates/azuresaddle-sched/src/pool/drains.rs
+++ b/crates/azuresaddle-sched/src/pool/drains.rs
@@ -34,7 +34,7 @@
         let Some(waiting) = self.queue.get(key) else {
             return;
         };
-        let members = self.members_for(&waiting.ask);
+        let members = self.member_count_for(&waiting.request);
         if members == 0 {
             return;
         }
@@ -43,12 +43,12 @@
         if drained > 0 && drained + members > bound {
             return;
         }
-        let memory = waiting.ask.memory_tokens().div_ceil(members as u64);
+        let memory = waiting.request.memory_tokens().div_ceil(members as u64);
         let usable = |target: &Target| {
             target.drain.is_none()
-                && target.is_open(now)
+                && target.accepts_work(now)
                 && target.spec.memory_tokens >= memory
-                && !waiting.ask.exclude.contains(&target.spec.name)
+                && !waiting.request.exclude.contains(&target.spec.name)
         };
         let has_room = |target: &&Target| usable(target) && target.free() >= memory;
         let usable_count = self.targets.values().filter(|t| usable(t)).count();
@@ -60,7 +60,7 @@
             .targets
             .iter()
             .filter(|(_, t)| usable(t))
-            .map(|(k, _)| (self.room_at(now, k, memory), k))
+            .map(|(k, _)| (self.memory_free_at(now, k, memory), k))
             .collect();
         choices.sort_unstable();
         choices.truncate(members);
@@ -77,7 +77,7 @@
     }
 
     /// When a target is expected to have that much memory free.
-    fn room_at(&self, now: Instant, key: TargetKey, memory: u64) -> Instant {
+    fn memory_free_at(&self, now: Instant, key: TargetKey, memory: u64) -> Instant {
         let target = &self.targets[key];
         let mut free = target.free();
         if free >= memory {
--- a/crates/azuresaddle-sched/src/pool/events.rs
+++ b/crates/azuresaddle-sched/src/pool/events.rs
@@ -30,14 +30,14 @@
         let tokens = reservation.prefill_tokens;
         for target_key in reservation.targets.clone() {
             let target = &mut self.targets[target_key];
-            let began = sent_at.max(target.prefill_ended);
+            let began = sent_at.max(target.last_prefill_ended_at);
             target
                 .rate
                 .observe(tokens, now.saturating_duration_since(began));
-            target.prefill_ended = now;
+            target.last_prefill_ended_at = now;
             target.prefilling.retain(|r| *r != key);
             if target.prefilling.is_empty() {
-                target.prefill_ends = now;
+                target.prefill_ends_at = now;
             }
             target.breaker.on_success();
         }
@@ -56,7 +56,7 @@
     /// Notes that an attempt failed on its target, which may still hold its memory.
     ///
     /// The reservation stays until [`Self::on_end`] or a new incarnation of the target.
-    pub fn on_suspect(&mut self, now: Instant, stream: StreamId) {
+    pub fn on_unconfirmed_failure(&mut self, now: Instant, stream: StreamId) {
         let Some(key) = self.by_stream.get(&stream) else {
             return;
         };
--- a/crates/azuresaddle-sched/src/pool/ledger.rs
+++ b/crates/azuresaddle-sched/src/pool/ledger.rs
@@ -12,20 +12,20 @@
 use crate::target::{Target, TargetKey};
 
 /// Short prompts that must fit in a target's free memory for it to count as usable for them.
-const SHORT_ROOM: u64 = 2;
+const MIN_SHORT_PROMPTS: u64 = 2;
 
 impl Pool {
     /// Reserves memory and a prefill slot on each of the targets, in one step.
     pub(super) fn reserve(&mut self, now: Instant, waiting: Waiting, keys: &[TargetKey]) -> Grant {
-        let ask = waiting.ask;
+        let request = waiting.request;
         let members = keys.len() as u64;
-        let memory_tokens = ask.memory_tokens().div_ceil(members);
-        let uncached = self.uncached_tokens(keys[0], &ask.prefix, ask.prompt_tokens);
+        let memory_tokens = request.memory_tokens().div_ceil(members);
+        let uncached = self.uncached_tokens(keys[0], &request.prefix, request.prompt_tokens);
         let prefill_tokens = uncached / members as f64;
         let reservation = Reservation {
-            stream: ask.stream,
-            node: ask.node,
-            account: ask.account,
+            stream: request.stream,
+            node: request.node,
+            account: request.account,
             class: waiting.class,
             targets: keys.to_vec(),
             memory_tokens,
@@ -37,17 +37,17 @@
         let key = self.insert_reservation(reservation);
         let mut first_token = now;
         for target in keys.iter().map(|k| &self.targets[*k]) {
-            let start = target.prefill_ends.max(now);
+            let start = target.prefill_ends_at.max(now);
             first_token = first_token.max(start + target.rate.time_for(prefill_tokens));
         }
         self.reservations[key].ends_at = first_token + self.answers.mean_time();
         for target_key in keys {
             let target = &mut self.targets[*target_key];
             target.prefilling.push(key);
-            target.prefill_ends = first_token;
+            target.prefill_ends_at = first_token;
         }
         Grant {
-            stream: ask.stream,
+            stream: request.stream,
             targets: keys
                 .iter()
                 .map(|k| self.targets[*k].spec.name.clone())
@@ -116,7 +116,7 @@
         target.reservations.retain(|r| *r != key);
         target.prefilling.retain(|r| *r != key);
         if target.prefilling.is_empty() {
-            target.prefill_ends = now;
+            target.prefill_ends_at = now;
         }
     }
 
@@ -138,7 +138,7 @@
     /// Number of targets that short prompts can't use: they run a long prefill, lack memory, or
     /// are drained for a long prompt.
     pub(super) fn taken_targets(&self) -> usize {
-        let room = SHORT_ROOM * self.options.short_max_tokens;
+        let room = MIN_SHORT_PROMPTS * self.options.short_max_tokens;
         let is_taken = |t: &&Target| {
             let lacks_room = t.free() < room.min(t.spec.memory_tokens);
             lacks_room || t.drain.is_some() || self.runs_long_prefill(t)
--- a/crates/azuresaddle-sched/src/pool/mod.rs
+++ b/crates/azuresaddle-sched/src/pool/mod.rs
@@ -92,7 +92,7 @@
 
     /// Summary for the choice among pools.
     pub fn digest(&self, now: Instant, pool: PoolId) -> PoolDigest {
-        let usable = || self.targets.values().filter(|t| t.is_open(now));
+        let usable = || self.targets.values().filter(|t| t.accepts_work(now));
         PoolDigest {
             pool,
             usable_targets: usable().count() as u32,
@@ -124,8 +124,12 @@
 
     /// When a target may come to take work by time alone.
     fn next_change(&self, now: Instant, target: &Target) -> Option<Instant> {
-        let ready = (target.prefilling.len() == 1 && !self.options.ready_ahead.is_zero())
-            .then(|| target.prefill_ends.checked_sub(self.options.ready_ahead))
+        let ready = (target.prefilling.len() == 1 && !self.options.prefill_lead_time.is_zero())
+            .then(|| {
+                target
+                    .prefill_ends_at
+                    .checked_sub(self.options.prefill_lead_time)
+            })
             .flatten();
         [
             ready,
--- a/crates/azuresaddle-sched/src/pool/targets.rs
+++ b/crates/azuresaddle-sched/src/pool/targets.rs
@@ -16,7 +16,7 @@
             return;
         }
         let name = spec.name.clone();
-        let rate = self.usual_rate();
+        let rate = self.reference_rate();
         let key = self.targets.insert(Target::new(now, spec, rate));
         self.target_names.insert(name, key);
     }
@@ -109,7 +109,7 @@
     }
 
     /// Rate of a usual target: the best learned one, or the configured one.
-    pub(super) fn usual_rate(&self) -> f64 {
+    pub(super) fn reference_rate(&self) -> f64 {
         self.targets
             .values()
             .map(|t| t.rate.tokens_per_second())
--- a/crates/azuresaddle-sched/src/queue.rs
+++ b/crates/azuresaddle-sched/src/queue.rs
@@ -7,9 +7,9 @@
 use slotmap::{SlotMap, new_key_type};
 use tokio::time::Instant;
 
-use crate::ask::Ask;
 use crate::class::Class;
 use crate::fair_clock::FairTag;
+use crate::reservation_request::ReservationRequest;
 
 new_key_type! {
     /// Key of a waiting request.
@@ -19,7 +19,7 @@
 /// A waiting request.
 #[derive(Debug)]
 pub(crate) struct Waiting {
-    pub(crate) ask: Ask,
+    pub(crate) request: ReservationRequest,
     pub(crate) class: Class,
     /// Expected prefill on a usual target with nothing cached.
     pub(crate) prefill: Duration,
@@ -44,8 +44,8 @@
 }
 
 /// What the queue needs to know of a new request.
-pub(crate) struct Entry {
-    pub(crate) ask: Ask,
+pub(crate) struct QueueEntry {
+    pub(crate) request: ReservationRequest,
     pub(crate) class: Class,
     pub(crate) prefill: Duration,
     pub(crate) start_by: Instant,
@@ -54,9 +54,9 @@
 }
 
 impl Queue {
-    pub(crate) fn push(&mut self, entry: Entry) -> WaitKey {
-        let Entry {
-            ask,
+    pub(crate) fn push(&mut self, entry: QueueEntry) -> WaitKey {
+        let QueueEntry {
+            request,
             class,
             prefill,
             start_by,
@@ -65,9 +65,9 @@
         } = entry;
         self.arrivals += 1;
         let rank = (due, self.arrivals);
-        let stream = ask.stream;
+        let stream = request.stream;
         let key = self.waiting.insert(Waiting {
-            ask,
+            request,
             class,
             prefill,
             start_by,
@@ -85,7 +85,7 @@
         let waiting = self.waiting.remove(key)?;
         let class = waiting.class.index();
         self.by_class[class].remove(&waiting.rank);
-        self.by_stream.remove(&waiting.ask.stream);
+        self.by_stream.remove(&waiting.request.stream);
         self.by_start.remove(&(waiting.start_by, key));
         self.backlog[class] = self.backlog[class].saturating_sub(waiting.prefill);
         Some(waiting)
--- a/crates/azuresaddle-sched/src/rate.rs
+++ b/crates/azuresaddle-sched/src/rate.rs
@@ -75,7 +75,7 @@
 
     /// Time that a request needs before its deadline for its answer; none while little is known,
     /// since a wrong guess would refuse what could be served.
-    pub(crate) fn time_to_keep(self, max_tokens: u64) -> Duration {
+    pub(crate) fn answer_time_allowance(self, max_tokens: u64) -> Duration {
         if self.observed < Self::TRUSTED_AFTER {
             return Duration::ZERO;
         }
--- a/crates/azuresaddle-sched/src/ask.rs
+++ b/crates/azuresaddle-sched/src/reservation_request.rs
@@ -8,7 +8,7 @@
 
 /// Asks a pool for a reservation.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct ReservationRequest {
     /// The attempt that will run.
     pub stream: StreamId,
     /// The node that will relay the answer.
@@ -35,7 +35,7 @@
     pub exclude: Vec<HostName>,
 }
 
-impl Ask {
+impl ReservationRequest {
     /// Memory that the request may come to hold, in tokens.
     pub fn memory_tokens(&self) -> u64 {
         self.prompt_tokens + self.max_tokens
--- a/crates/azuresaddle-sched/src/retry_budget.rs
+++ b/crates/azuresaddle-sched/src/retry_budget.rs
@@ -4,10 +4,10 @@
 const EARNED_PER_FIRST_TRY: f64 = 0.1;
 
 /// Most retries that can be saved up.
-const MAX_SAVED: f64 = 100.0;
+const MAX_RETRIES: f64 = 100.0;
 
 /// Retries available at the start.
-const INITIAL: f64 = 10.0;
+const INITIAL_RETRIES: f64 = 10.0;
 
 /// Bounds retries to a tenth of the first tries, so that a failure does not multiply the load.
 #[derive(Clone, Copy, Debug)]
@@ -17,13 +17,15 @@
 
 impl Default for RetryBudget {
     fn default() -> Self {
-        Self { available: INITIAL }
+        Self {
+            available: INITIAL_RETRIES,
+        }
     }
 }
 
 impl RetryBudget {
     pub(crate) fn on_first_try(&mut self) {
-        self.available = (self.available + EARNED_PER_FIRST_TRY).min(MAX_SAVED);
+        self.available = (self.available + EARNED_PER_FIRST_TRY).min(MAX_RETRIES);
     }
 
     /// Takes one retry; false where none is left.
--- a/crates/azuresaddle-sched/src/target.rs
+++ b/crates/azuresaddle-sched/src/target.rs
@@ -37,9 +37,9 @@
     /// All reservations.
     pub(crate) reservations: Vec<ReservationKey>,
     /// When the present prefill is expected to end.
-    pub(crate) prefill_ends: Instant,
+    pub(crate) prefill_ends_at: Instant,
     /// When the last first token came.
-    pub(crate) prefill_ended: Instant,
+    pub(crate) last_prefill_ended_at: Instant,
     pub(crate) rate: PrefillRate,
     pub(crate) breaker: Breaker,
     /// Takes no new reservations.
@@ -60,8 +60,8 @@
             reserved: 0,
             prefilling: Vec::new(),
             reservations: Vec::new(),
-            prefill_ends: now,
-            prefill_ended: now,
+            prefill_ends_at: now,
+            last_prefill_ended_at: now,
             rate: PrefillRate::new(rate),
             breaker: Breaker::default(),
             leaving: false,
@@ -79,20 +79,20 @@
     }
 
     /// Whether new work may go to the target at all.
-    pub(crate) fn is_open(&self, now: Instant) -> bool {
+    pub(crate) fn accepts_work(&self, now: Instant) -> bool {
         !self.leaving
             && now >= self.paused_until
             && self.breaker.allows(now, self.reservations.len())
     }
 
     /// Whether the next prefill may be sent: none runs, or the only one is about to end.
-    pub(crate) fn has_prefill_slot(&self, now: Instant, ready_ahead: Duration) -> bool {
+    pub(crate) fn has_prefill_slot(&self, now: Instant, prefill_lead_time: Duration) -> bool {
         match self.prefilling.len() {
             0 => true,
             1 => {
-                !ready_ahead.is_zero()
-                    && now + ready_ahead >= self.prefill_ends
-                    && now <= self.prefill_ends
+                !prefill_lead_time.is_zero()
+                    && now + prefill_lead_time >= self.prefill_ends_at
+                    && now <= self.prefill_ends_at
             }
             _ => false,
         }
--- a/crates/azuresaddle-sched/tests/suite/admission.rs
+++ b/crates/azuresaddle-sched/tests/suite/admission.rs
@@ -4,16 +4,16 @@
 
 use azuresaddle_core::prelude::*;
 use azuresaddle_core::rules::AccountLimits;
-use azuresaddle_sched::{Ask, Outcome};
+use azuresaddle_sched::{Outcome, ReservationRequest};
 use tokio::time::Instant;
 
-use super::support::{ask, decide, decided, pool, stream};
+use super::support::{decide, decided, pool, request, stream};
 
 #[test]
 fn what_fits_in_no_pool_is_refused_for_good() {
     let now = Instant::now();
     let mut pool = pool(now, 2, 400_000);
-    pool.enqueue(now, ask(1, now, 900_000));
+    pool.enqueue(now, request(1, now, 900_000));
     assert_eq!(
         decide(&mut pool, now),
         ["1!the prompt does not fit in the pool's memory"]
@@ -27,9 +27,9 @@
     let deadline = now + Duration::from_secs(2);
     pool.enqueue(
         now,
-        Ask {
+        ReservationRequest {
             deadline,
-            ..ask(1, now, 300_000)
+            ..request(1, now, 300_000)
         },
     );
     assert_eq!(decide(&mut pool, now), ["1!the deadline can't be met"]);
@@ -39,14 +39,14 @@
 fn a_waiting_request_is_refused_once_it_is_too_late() {
     let now = Instant::now();
     let mut pool = pool(now, 1, 400_000);
-    pool.enqueue(now, ask(1, now, 1_000));
+    pool.enqueue(now, request(1, now, 1_000));
     assert_eq!(decide(&mut pool, now).len(), 1);
     let deadline = now + Duration::from_secs(60);
     pool.enqueue(
         now,
-        Ask {
+        ReservationRequest {
             deadline,
-            ..ask(2, now, 1_000)
+            ..request(2, now, 1_000)
         },
     );
     assert_eq!(decide(&mut pool, now).len(), 0);
@@ -66,7 +66,7 @@
     let mut now = Instant::now();
     let mut pool = pool(now, 1, 400_000);
     for number in 0..100 {
-        pool.enqueue(now, ask(number, now, 1_000));
+        pool.enqueue(now, request(number, now, 1_000));
         assert_eq!(decide(&mut pool, now).len(), 1);
         pool.on_first_token(now, stream(number));
         now += Duration::from_secs(10);
@@ -76,18 +76,18 @@
     let soon = now + Duration::from_secs(5);
     pool.enqueue(
         now,
-        Ask {
+        ReservationRequest {
             deadline: soon,
-            ..ask(200, now, 1_000)
+            ..request(200, now, 1_000)
         },
     );
     assert_eq!(decide(&mut pool, now), ["200!the deadline can't be met"]);
     let later = now + Duration::from_secs(30);
     pool.enqueue(
         now,
-        Ask {
+        ReservationRequest {
             deadline: later,
-            ..ask(201, now, 1_000)
+            ..request(201, now, 1_000)
         },
     );
     assert!(decided(&decide(&mut pool, now), 201).is_some());
@@ -104,9 +104,9 @@
     for number in 0..3 {
         pool.enqueue(
             now,
-            Ask {
+            ReservationRequest {
                 limits: limits.clone(),
-                ..ask(number, now, 1_000)
+                ..request(number, now, 1_000)
             },
         );
     }
@@ -116,9 +116,9 @@
     pool.on_end(now, stream(0), Outcome::Done { tokens: 400 });
     pool.enqueue(
         now,
-        Ask {
+        ReservationRequest {
             limits,
-            ..ask(3, now, 1_000)
+            ..request(3, now, 1_000)
         },
     );
     assert!(decided(&decide(&mut pool, now), 3).is_some());
@@ -132,9 +132,9 @@
         max_in_flight: None,
         max_tokens_per_second: Some(100.0),
     };
-    let limited = |number, now| Ask {
+    let limited = |number, now| ReservationRequest {
         limits: limits.clone(),
-        ..ask(number, now, 600)
+        ..request(number, now, 600)
     };
     pool.enqueue(now, limited(1, now));
     pool.enqueue(now, limited(2, now));
@@ -149,18 +149,18 @@
 fn a_flooding_account_does_not_pass_others() {
     let now = Instant::now();
     let mut pool = pool(now, 1, 400_000);
-    pool.enqueue(now, ask(0, now, 1_000));
+    pool.enqueue(now, request(0, now, 1_000));
     decide(&mut pool, now);
     for number in 1..100 {
-        pool.enqueue(now, ask(number, now, 8_000));
+        pool.enqueue(now, request(number, now, 8_000));
     }
     let later = now + Duration::from_millis(10);
     let other = ClientAccount::new("b");
     pool.enqueue(
         later,
-        Ask {
+        ReservationRequest {
             account: other,
-            ..ask(500, later, 8_000)
+            ..request(500, later, 8_000)
         },
     );
     pool.on_first_token(later, stream(0));
@@ -180,9 +180,9 @@
     for number in 0..50 {
         pool.enqueue(
             now,
-            Ask {
+            ReservationRequest {
                 stream: stream(number).retry(),
-                ..ask(number, now, 1_000)
+                ..request(number, now, 1_000)
             },
         );
         let decisions = decide(&mut pool, now);
--- a/crates/azuresaddle-sched/tests/suite/conservation.rs
+++ b/crates/azuresaddle-sched/tests/suite/conservation.rs
@@ -8,14 +8,14 @@
 use proptest::prelude::*;
 use tokio::time::Instant;
 
-use super::support::{ask, engine, pool, stream};
+use super::support::{engine, pool, request, stream};
 
 const TARGETS: usize = 4;
 const MEMORY: u64 = 100_000;
 
 #[derive(Clone, Debug)]
 enum Op {
-    Ask(u64),
+    Request(u64),
     FirstToken(usize),
     End(usize, u8),
     Leave(usize, bool),
@@ -25,7 +25,7 @@
 
 fn op() -> impl Strategy<Value = Op> {
     prop_oneof![
-        4 => prop_oneof![4 => 100..9_000_u64, 1 => 9_000..300_000_u64].prop_map(Op::Ask),
+        4 => prop_oneof![4 => 100..9_000_u64, 1 => 9_000..300_000_u64].prop_map(Op::Request),
         3 => (0..64_usize).prop_map(Op::FirstToken),
         3 => (0..64_usize, 0..4_u8).prop_map(|(at, how)| Op::End(at, how)),
         1 => (0..TARGETS, any::<bool>()).prop_map(|(t, leave)| Op::Leave(t, leave)),
@@ -62,7 +62,7 @@
             let running: Vec<_> = held.keys().copied().collect();
             let pick = |at: usize| running.get(at % running.len().max(1)).copied();
             match op {
-                Op::Ask(tokens) => pool.enqueue(now, ask(number as u128, now, tokens)),
+                Op::Request(tokens) => pool.enqueue(now, request(number as u128, now, tokens)),
                 Op::FirstToken(at) => {
                     if let Some(stream) = pick(at) {
                         pool.on_first_token(now, stream);
--- a/crates/azuresaddle-sched/tests/suite/pool.rs
+++ b/crates/azuresaddle-sched/tests/suite/pool.rs
@@ -3,19 +3,19 @@
 use std::time::Duration;
 
 use azuresaddle_core::prelude::*;
-use azuresaddle_sched::{Ask, LiveStream, Outcome};
+use azuresaddle_sched::{LiveStream, Outcome, ReservationRequest};
 use tokio::time::Instant;
 
-use super::support::{ask, decide, decided, engine, pool, stream};
+use super::support::{decide, decided, engine, pool, request, stream};
 
 #[test]
 fn a_repeated_request_is_one_request() {
     let now = Instant::now();
     let mut pool = pool(now, 2, 400_000);
-    pool.enqueue(now, ask(1, now, 1_000));
-    pool.enqueue(now, ask(1, now, 1_000));
+    pool.enqueue(now, request(1, now, 1_000));
+    pool.enqueue(now, request(1, now, 1_000));
     assert_eq!(decide(&mut pool, now).len(), 1);
-    pool.enqueue(now, ask(1, now, 1_000));
+    pool.enqueue(now, request(1, now, 1_000));
     assert_eq!(decide(&mut pool, now).len(), 0);
     assert_eq!(pool.running(), 1);
 }
@@ -24,9 +24,9 @@
 fn a_huge_prompt_gets_all_its_targets_at_once_or_none() {
     let now = Instant::now();
     let mut pool = pool(now, 3, 400_000);
-    pool.enqueue(now, ask(1, now, 1_000));
+    pool.enqueue(now, request(1, now, 1_000));
     assert_eq!(decide(&mut pool, now).len(), 1);
-    pool.enqueue(now, ask(2, now, 1_150_000));
+    pool.enqueue(now, request(2, now, 1_150_000));
     assert_eq!(decide(&mut pool, now).len(), 0, "one target is taken");
     pool.on_first_token(now, stream(1));
     pool.on_end(now, stream(1), Outcome::Done { tokens: 400 });
@@ -39,9 +39,9 @@
     let mut pool = pool(now, 3, 400_000);
     let mut next = 100;
     let mut running = Vec::new();
-    pool.enqueue(now, ask(1, now, 1_150_000));
+    pool.enqueue(now, request(1, now, 1_150_000));
     for _ in 0..3 {
-        pool.enqueue(now, ask(next, now, 8_000));
+        pool.enqueue(now, request(next, now, 8_000));
         next += 1;
     }
     // Short prompts keep coming, more than the targets can take, and answer in two seconds.
@@ -69,7 +69,7 @@
             }
             !ended
         });
-        pool.enqueue(now, ask(next, now, 8_000));
+        pool.enqueue(now, request(next, now, 8_000));
         next += 1;
     }
     panic!("the huge prompt never started");
@@ -80,14 +80,14 @@
     let now = Instant::now();
     let mut pool = pool(now, 10, 400_000);
     for number in 0..20 {
-        pool.enqueue(now, ask(number, now, 100_000));
+        pool.enqueue(now, request(number, now, 100_000));
     }
     let long = decide(&mut pool, now).len();
     assert!(
         (1..10).contains(&long),
         "{long} of 10 targets run long prefills"
     );
-    pool.enqueue(now, ask(100, now, 1_000));
+    pool.enqueue(now, request(100, now, 1_000));
     assert!(decided(&decide(&mut pool, now), 100).is_some());
 }
 
@@ -97,7 +97,7 @@
     let mut pool = pool(now, 2, 400_000);
     pool.set_leaving(&engine(0), true);
     for number in 0..2 {
-        pool.enqueue(now, ask(number, now, 1_000));
+        pool.enqueue(now, request(number, now, 1_000));
     }
     assert_eq!(decide(&mut pool, now), ["0@e1"]);
 }
@@ -107,7 +107,7 @@
     let now = Instant::now();
     let mut pool = pool(now, 1, 400_000);
     pool.on_incarnation(now, &engine(0), Incarnation(1));
-    pool.enqueue(now, ask(1, now, 1_000));
+    pool.enqueue(now, request(1, now, 1_000));
     decide(&mut pool, now);
     assert_eq!(pool.reserved_tokens(&engine(0)), Some(1_100));
     pool.on_incarnation(now, &engine(0), Incarnation(2));
@@ -128,7 +128,7 @@
     pool.adopt(now, &engine(0), &live);
     pool.adopt(now, &engine(0), &live);
     assert_eq!(pool.reserved_tokens(&engine(0)), Some(390_000));
-    pool.enqueue(now, ask(2, now, 100_000));
+    pool.enqueue(now, request(2, now, 100_000));
     assert_eq!(decide(&mut pool, now), ["2@e1"]);
 }
 
@@ -137,7 +137,7 @@
     let now = Instant::now();
     let mut pool = pool(now, 2, 400_000);
     for number in 0..2 {
-        pool.enqueue(now, ask(number, now, 150_000));
+        pool.enqueue(now, request(number, now, 150_000));
     }
     decide(&mut pool, now);
     let id = PoolId {
@@ -160,9 +160,9 @@
     pool.on_cache_listing(&engine(2), 7, prefix.clone());
     pool.enqueue(
         now,
-        Ask {
+        ReservationRequest {
             prefix,
-            ..ask(1, now, 5_000)
+            ..request(1, now, 5_000)
         },
     );
     assert_eq!(decide(&mut pool, now), ["1@e2"]);
--- a/crates/azuresaddle-sched/tests/suite/support.rs
+++ b/crates/azuresaddle-sched/tests/suite/support.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use azuresaddle_core::prelude::*;
-use azuresaddle_sched::{Action, Ask, Pool, PoolOptions, TargetSpec};
+use azuresaddle_sched::{Action, Pool, PoolOptions, ReservationRequest, TargetSpec};
 use tokio::time::Instant;
 
 pub(crate) fn pool(now: Instant, targets: usize, memory_tokens: u64) -> Pool {
@@ -29,8 +29,8 @@
     StreamId::first(RequestId(number))
 }
 
-pub(crate) fn ask(number: u128, now: Instant, prompt_tokens: u64) -> Ask {
-    Ask {
+pub(crate) fn request(number: u128, now: Instant, prompt_tokens: u64) -> ReservationRequest {
+    ReservationRequest {
         stream: stream(number),
         node: HostName::new("n"),
         account: ClientAccount::new("a"),
--- a/crates/azuresaddle-standin/src/capacity/memory.rs
+++ b/crates/azuresaddle-standin/src/capacity/memory.rs
@@ -4,7 +4,7 @@
 
 use anyhow::{Context, Result};
 use azuresaddle_core::prelude::*;
-use azuresaddle_sched::{Ask, Pool, PoolOptions, TargetSpec};
+use azuresaddle_sched::{Pool, PoolOptions, ReservationRequest, TargetSpec};
 use tokio::time::Instant;
 
 /// Size of a page of memory, in bytes.
@@ -77,8 +77,8 @@
     pool
 }
 
-fn ask(now: Instant, number: u128) -> Ask {
-    Ask {
+fn ask(now: Instant, number: u128) -> ReservationRequest {
+    ReservationRequest {
         stream: StreamId::first(RequestId(number)),
         node: HostName::new("entry-host-001"),
         account: ClientAccount::new("account-001"),
--- a/crates/azuresaddle-standin/src/experiment/immediate.rs
+++ b/crates/azuresaddle-standin/src/experiment/immediate.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use azuresaddle_core::prelude::*;
-use azuresaddle_sched::{Action, Ask, Grant};
+use azuresaddle_sched::{Action, Grant, ReservationRequest};
 use rand::rngs::StdRng;
 use rand::seq::index::sample;
 use rand::{Rng, SeedableRng};
@@ -51,7 +51,7 @@
         }
     }
 
-    pub(super) fn enqueue(&mut self, now: Instant, ask: &Ask) {
+    pub(super) fn enqueue(&mut self, now: Instant, ask: &ReservationRequest) {
         self.see(now);
         let members = Engines::members(&self.mix, ask.memory_tokens());
         let usable: Vec<usize> = (0..self.mix.count)
--- a/crates/azuresaddle-standin/src/experiment/policy.rs
+++ b/crates/azuresaddle-standin/src/experiment/policy.rs
@@ -87,8 +87,8 @@
             fair_accounts: self >= Self::Fair,
             check_deadlines: self >= Self::Deadlines,
             avoid_slow: self >= Self::AvoidSlow,
-            ready_ahead: if self >= Self::Full {
-                full.ready_ahead
+            prefill_lead_time: if self >= Self::Full {
+                full.prefill_lead_time
             } else {
                 Duration::ZERO
             },
--- a/crates/azuresaddle-standin/src/experiment/pool_policy.rs
+++ b/crates/azuresaddle-standin/src/experiment/pool_policy.rs
@@ -1,7 +1,7 @@
 //! One interface over the baselines and the product's pool.
 
 use azuresaddle_core::prelude::*;
-use azuresaddle_sched::{Action, Ask, Outcome, Pool, PoolOptions, TargetSpec};
+use azuresaddle_sched::{Action, Outcome, Pool, PoolOptions, ReservationRequest, TargetSpec};
 use tokio::time::Instant;
 
 use super::immediate::Immediate;
@@ -43,7 +43,7 @@
         Self::Pool(Box::new(pool))
     }
 
-    pub(super) fn enqueue(&mut self, now: Instant, ask: Ask) {
+    pub(super) fn enqueue(&mut self, now: Instant, ask: ReservationRequest) {
         match self {
             Self::Pool(pool) => pool.enqueue(now, ask),
             Self::Immediate(policy) => policy.enqueue(now, &ask),
@@ -67,7 +67,7 @@
     /// Notes that an attempt failed on an engine that does not confirm its end.
     pub(super) fn suspect(&mut self, now: Instant, stream: StreamId) {
         match self {
-            Self::Pool(pool) => pool.on_suspect(now, stream),
+            Self::Pool(pool) => pool.on_unconfirmed_failure(now, stream),
             Self::Immediate(policy) => policy.end(now, stream),
         }
     }
--- a/crates/azuresaddle-standin/src/experiment/world.rs
+++ b/crates/azuresaddle-standin/src/experiment/world.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use azuresaddle_core::prelude::*;
-use azuresaddle_sched::{Action, Ask, Outcome};
+use azuresaddle_sched::{Action, Outcome, ReservationRequest};
 use tokio::time::Instant;
 
 use super::arrivals::{MAX_ANSWER_TOKENS, Request};
@@ -144,7 +144,7 @@
             request: RequestId(i as u128),
             attempt: state.attempt,
         };
-        let ask = Ask {
+        let ask = ReservationRequest {
             stream,
             node: HostName::new("n"),
             account: request.account_name.clone(),
