--- a/crates/azuresaddle-edge/src/control/crashes.rs
+++ b/crates/azuresaddle-edge/src/control/crashes.rs
@@ -5,7 +5,7 @@
 
 use azuresaddle_core::prelude::*;
 use azuresaddle_platform::{CrashKey, Item};
-use azuresaddle_sched::quarantine::{Crash, GoodEnd, Learned, TargetLife};
+use azuresaddle_sched::quarantine::{Crash, CrashStatus, SuccessfulRun, TargetIncarnation};
 use tokio::time::Instant;
 
 use super::actor::Control;
@@ -73,7 +73,7 @@
         }
     }
 
-    fn on_good_end_told(&mut self, end: GoodEnd) -> bool {
+    fn on_good_end_told(&mut self, end: SuccessfulRun) -> bool {
         let is_new = self.quarantine.learn_good_end(end);
         if is_new {
             self.forget_if_clear(end.fingerprint);
@@ -86,7 +86,7 @@
     async fn on_crash_told(&mut self, from: Ipv4Addr, crash: Crash) -> bool {
         let request = crash.fingerprint;
         let was_quarantined = self.quarantine.standing(request).is_quarantined();
-        if self.quarantine.learn_crash(crash) == Learned::Known {
+        if self.quarantine.learn_crash(crash) == CrashStatus::Known {
             return false;
         }
         let good_ends = self.quarantine.good_ends_of(request);
@@ -140,12 +140,12 @@
         self.stored_crashes.insert(key);
         let crash = Crash {
             fingerprint: key.request,
-            target: TargetLife {
+            target: TargetIncarnation {
                 target: key.target,
                 number: key.life,
             },
         };
-        if self.quarantine.learn_crash(crash) == Learned::New && !self.members.is_mesh() {
+        if self.quarantine.learn_crash(crash) == CrashStatus::New && !self.members.is_mesh() {
             // Most nodes of a larger fleet don't follow the store.
             self.crash_spread.push(CrashUpdate::Crash(crash));
         }
--- a/crates/azuresaddle-edge/src/control/tests/crash_spread.rs
+++ b/crates/azuresaddle-edge/src/control/tests/crash_spread.rs
@@ -1,7 +1,7 @@
 //! How fast all nodes hear of a request that crashes its targets.
 
 use azuresaddle_core::prelude::*;
-use azuresaddle_sched::quarantine::{Crash, Learned, TargetLife};
+use azuresaddle_sched::quarantine::{Crash, CrashStatus, TargetIncarnation};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use tokio::sync::mpsc;
@@ -20,7 +20,7 @@
 fn crash(request: u8, target: u64) -> Crash {
     Crash {
         fingerprint: Fingerprint::of(&[&[request]]),
-        target: TargetLife { target, number: 0 },
+        target: TargetIncarnation { target, number: 0 },
     }
 }
 
@@ -81,7 +81,7 @@
                 let CrashUpdate::Crash(crash) = one else {
                     continue;
                 };
-                if node.quarantine.learn_crash(crash) == Learned::New && nodes > 12 {
+                if node.quarantine.learn_crash(crash) == CrashStatus::New && nodes > 12 {
                     node.spread.push(one);
                 }
             }
--- a/crates/azuresaddle-edge/src/forward/crash_check.rs
+++ b/crates/azuresaddle-edge/src/forward/crash_check.rs
@@ -6,7 +6,7 @@
 
 use azuresaddle_core::deployment::TargetEntry;
 use azuresaddle_core::prelude::*;
-use azuresaddle_sched::quarantine::{GoodEnd, SURVIVAL};
+use azuresaddle_sched::quarantine::{SURVIVAL_TIME, SuccessfulRun};
 use tokio::time::Instant;
 
 use super::attempt::until;
@@ -57,7 +57,7 @@
     target: &TargetEntry,
     sent_at: Instant,
 ) {
-    let end = GoodEnd {
+    let end = SuccessfulRun {
         fingerprint: req.fingerprint,
         run: xxhash_rust::xxh3::xxh3_64(req.head.id().as_bytes()),
     };
@@ -66,7 +66,7 @@
     }
     let (cx, target) = (Arc::clone(cx), target.clone());
     cx.spawner.clone().spawn(async move {
-        tokio::time::sleep(SURVIVAL).await;
+        tokio::time::sleep(SURVIVAL_TIME).await;
         let has_restarted = cx.snapshots.load().targets.has_restarted(&target);
         // It may have come back before the send, and its later start have served the request.
         let has_restarted = has_restarted && !cx.quarantine.has_ended_before(&target, sent_at);
--- a/crates/azuresaddle-edge/src/forward/plain.rs
+++ b/crates/azuresaddle-edge/src/forward/plain.rs
@@ -6,7 +6,7 @@
 use azuresaddle_core::deployment::TargetEntry;
 use azuresaddle_core::prelude::*;
 use azuresaddle_platform::headers;
-use azuresaddle_sched::quarantine::Standing;
+use azuresaddle_sched::quarantine::RequestStatus;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Limited};
 use hyper::header::HeaderMap;
@@ -69,7 +69,7 @@
         if until(req.deadline).is_zero() {
             return tries.give_up(cx, req, StatusCode::GATEWAY_TIMEOUT, "no answer in time");
         }
-        if let Standing::Quarantined { left } = cx.quarantine.standing(req.fingerprint) {
+        if let RequestStatus::Quarantined { left } = cx.quarantine.standing(req.fingerprint) {
             note_quarantined(cx, req);
             return tries.refuse_quarantined(cx, req, left);
         }
--- a/crates/azuresaddle-edge/src/forward/stream/finish.rs
+++ b/crates/azuresaddle-edge/src/forward/stream/finish.rs
@@ -5,7 +5,7 @@
 
 use azuresaddle_core::deployment::TargetEntry;
 use azuresaddle_core::prelude::*;
-use azuresaddle_sched::quarantine::Standing;
+use azuresaddle_sched::quarantine::RequestStatus;
 use hyper::StatusCode;
 use tokio::time::Instant;
 
@@ -105,9 +105,9 @@
         self.completion.set();
         self.record(StreamEnd::Refused);
         let left = match self.cx.quarantine.standing(self.req.fingerprint) {
-            Standing::Quarantined { left } => left,
+            RequestStatus::Quarantined { left } => left,
             // A good end elsewhere has settled it in this moment.
-            Standing::Clear | Standing::Suspect => RETRY_AFTER,
+            RequestStatus::Clear | RequestStatus::Suspect => RETRY_AFTER,
         };
         if let Some(tx) = self.head.take() {
             let response = refusal(QUARANTINED, left);
--- a/crates/azuresaddle-edge/src/quarantine/shared.rs
+++ b/crates/azuresaddle-edge/src/quarantine/shared.rs
@@ -7,7 +7,8 @@
 use azuresaddle_core::prelude::*;
 use azuresaddle_sched::passes::Suspect;
 use azuresaddle_sched::quarantine::{
-    Crash, GoodEnd, Learned, Quarantine, RecentGoodEnds, Standing, TargetLife,
+    Crash, CrashStatus, Quarantine, RecentSuccessfulRuns, RequestStatus, SuccessfulRun,
+    TargetIncarnation,
 };
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
@@ -20,7 +21,7 @@
 pub(crate) struct SharedQuarantine {
     state: Mutex<Quarantine>,
     /// Good ends of requests of which nothing is known.
-    recent: Mutex<RecentGoodEnds>,
+    recent: Mutex<RecentSuccessfulRuns>,
     /// Requests that something is known of; with none of them nobody takes the lock.
     known: AtomicUsize,
     /// Grows with each request that goes into quarantine.
@@ -44,11 +45,11 @@
     }
 
     /// How a request stands.
-    pub(crate) fn standing(&self, request: Fingerprint) -> Standing {
+    pub(crate) fn standing(&self, request: Fingerprint) -> RequestStatus {
         if self.known.load(Ordering::Relaxed) == 0 {
-            return Standing::Clear;
+            return RequestStatus::Clear;
         }
-        self.lock().standing(Instant::now(), request)
+        self.lock().status(Instant::now(), request)
     }
 
     /// The request as a suspect, where a target has ended while it had it.
@@ -57,10 +58,10 @@
             return None;
         }
         let state = self.lock();
-        let is_suspect = state.standing(Instant::now(), request) != Standing::Clear;
+        let is_suspect = state.status(Instant::now(), request) != RequestStatus::Clear;
         is_suspect.then(|| Suspect {
             request,
-            keeps_apart: state.is_on_last_crash(Instant::now(), request),
+            keeps_apart: state.is_one_crash_from_quarantine(Instant::now(), request),
         })
     }
 
@@ -76,7 +77,7 @@
 
     /// Notes that this node saw a target end under a send of a request that began at `sent_at`.
     pub(crate) fn on_crash(&self, request: Fingerprint, target: &TargetEntry, sent_at: Instant) {
-        let life = TargetLife {
+        let life = TargetIncarnation {
             target: hash_of(target),
             number: 0,
         };
@@ -85,7 +86,7 @@
             target: life,
         });
         let crash = self.update(request, |state, now| {
-            state.observe(now, request, hash_of(target), sent_at)
+            state.observe_crash(now, request, hash_of(target), sent_at)
         });
         if let Some(crash) = crash {
             self.tell(CrashUpdate::Crash(crash));
@@ -99,17 +100,17 @@
 
     /// Whether an end of a target is known from before a send to it.
     pub(crate) fn has_ended_before(&self, target: &TargetEntry, sent_at: Instant) -> bool {
-        self.lock().has_ended_before(hash_of(target), sent_at)
+        self.lock().has_crashed_before(hash_of(target), sent_at)
     }
 
     /// Remembers a good end for a while, in case something will be held against the request.
-    pub(crate) fn remember_good_end(&self, end: GoodEnd, target: &TargetEntry) {
+    pub(crate) fn remember_good_end(&self, end: SuccessfulRun, target: &TargetEntry) {
         self.lock_recent()
             .note(Instant::now(), end, hash_of(target));
     }
 
     /// Notes that this node saw a run of a request come to a good end which its target survived.
-    pub(crate) fn on_good_end(&self, end: GoodEnd) {
+    pub(crate) fn on_good_end(&self, end: SuccessfulRun) {
         if self.learn_good_end(end) {
             self.tell(CrashUpdate::GoodEnd(end));
         }
@@ -118,7 +119,7 @@
     /// Counts what this node has seen for a request against which something is held now.
     fn recall_good_ends(&self, crash: Crash) {
         let state = self.lock();
-        let has_ended = |target| target == crash.target.target || state.knows_end_of(target);
+        let has_ended = |target| target == crash.target.target || state.knows_crash_of(target);
         let mut recent = self.lock_recent();
         let recalled = recent.take(Instant::now(), crash.fingerprint, has_ended);
         drop(recent);
@@ -129,20 +130,22 @@
     }
 
     /// Takes a crash that another node has seen.
-    pub(crate) fn learn_crash(&self, crash: Crash) -> Learned {
+    pub(crate) fn learn_crash(&self, crash: Crash) -> CrashStatus {
         self.recall_good_ends(crash);
         self.update(crash.fingerprint, |state, now| state.on_crash(now, crash))
     }
 
     /// Takes a good end, seen here or by another node; true where it was not known.
-    pub(crate) fn learn_good_end(&self, end: GoodEnd) -> bool {
-        self.update(end.fingerprint, |state, now| state.on_good_end(now, end))
+    pub(crate) fn learn_good_end(&self, end: SuccessfulRun) -> bool {
+        self.update(end.fingerprint, |state, now| {
+            state.on_successful_run(now, end)
+        })
     }
 
     /// Ends a quarantine by an operator's word, given here or to another node; false where nothing was held against the
     /// request.
     pub(crate) fn pardon(&self, request: Fingerprint) -> bool {
-        let was_held = self.update(request, |state, _| state.pardon(request));
+        let was_held = self.update(request, |state, _| state.lift(request));
         if was_held {
             tracing::warn!(part = "control", fingerprint = %request, "quarantine ended by an operator");
         }
@@ -166,9 +169,9 @@
     ) -> T {
         let now = Instant::now();
         let mut state = self.lock();
-        let before = state.standing(now, request);
+        let before = state.status(now, request);
         let changed = change(&mut state, now);
-        let after = state.standing(now, request);
+        let after = state.status(now, request);
         self.known.store(state.len(), Ordering::Relaxed);
         if before.is_quarantined() && !after.is_quarantined() {
             tracing::info!(part = "control", fingerprint = %request, "request cleared");
@@ -193,8 +196,8 @@
     }
 
     /// Good ends of one request.
-    pub(crate) fn good_ends_of(&self, request: Fingerprint) -> Vec<GoodEnd> {
-        self.lock().good_ends_of(request)
+    pub(crate) fn good_ends_of(&self, request: Fingerprint) -> Vec<SuccessfulRun> {
+        self.lock().successful_runs_of(request)
     }
 
     /// Crashes of all requests in quarantine.
@@ -211,7 +214,7 @@
         requests.sort_unstable();
         requests.dedup();
         let listed = requests.into_iter().filter_map(|fingerprint| {
-            let Standing::Quarantined { left } = state.standing(now, fingerprint) else {
+            let RequestStatus::Quarantined { left } = state.status(now, fingerprint) else {
                 return None;
             };
             Some(QuarantinedRequest {
@@ -226,7 +229,7 @@
     /// Forgets what no longer matters.
     pub(crate) fn forget_old(&self) {
         let mut state = self.lock();
-        state.forget_old(Instant::now());
+        state.remove_expired(Instant::now());
         self.known.store(state.len(), Ordering::Relaxed);
     }
 
@@ -236,7 +239,7 @@
         }
     }
 
-    fn lock_recent(&self) -> MutexGuard<'_, RecentGoodEnds> {
+    fn lock_recent(&self) -> MutexGuard<'_, RecentSuccessfulRuns> {
         self.recent.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
--- a/crates/azuresaddle-sched/src/passes/engine.rs
+++ b/crates/azuresaddle-sched/src/passes/engine.rs
@@ -10,7 +10,7 @@
 use super::ask::AskId;
 use super::pace::Pace;
 use crate::breaker::Breaker;
-use crate::quarantine::SURVIVAL;
+use crate::quarantine::SURVIVAL_TIME;
 use crate::rate_bucket::RateBucket;
 
 new_key_type! {
@@ -197,7 +197,7 @@
     pub(super) fn on_whole_answer(&mut self, now: Instant, id: AskId) {
         let lead = self.leads.iter().find(|l| l.id == id);
         if lead.is_some_and(|l| l.keeps_apart) {
-            self.apart_until = now + SURVIVAL;
+            self.apart_until = now + SURVIVAL_TIME;
         }
     }
 
--- a/crates/azuresaddle-sched/src/quarantine/crash.rs
+++ b/crates/azuresaddle-sched/src/quarantine/crash.rs
@@ -3,15 +3,15 @@
 use azuresaddle_core::prelude::*;
 use serde::{Deserialize, Serialize};
 
-/// Identifies one life of a target, so that the same end is counted once, whoever saw it.
+/// Identifies one incarnation of a target, so that the same end is counted once, whoever saw it.
 ///
 /// A target may start again under its name while nobody can read of its new start; that it took a request after its
 /// end is known tells that it did.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct TargetLife {
+pub struct TargetIncarnation {
     /// Hash of the target's name and of its start, as far as that is known.
     pub target: u64,
-    /// Number of this life among those that seem to have the same start.
+    /// Number of this incarnation among those that seem to have the same start.
     pub number: u8,
 }
 
@@ -20,13 +20,13 @@
 pub struct Crash {
     /// The request.
     pub fingerprint: Fingerprint,
-    /// The life of the target that ended.
-    pub target: TargetLife,
+    /// The incarnation of the target that ended.
+    pub target: TargetIncarnation,
 }
 
 /// A run came to a good end, and its target lived on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct GoodEnd {
+pub struct SuccessfulRun {
     /// The request.
     pub fingerprint: Fingerprint,
     /// Identifies the run, so that it is counted once, whoever tells of it.
@@ -35,7 +35,7 @@
 
 /// What a node makes of a crash that it is told of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Learned {
+pub enum CrashStatus {
     /// It was not known.
     New,
     /// It was known, or an operator has ended a quarantine by it.
--- a/crates/azuresaddle-sched/src/quarantine/evidence.rs
+++ b/crates/azuresaddle-sched/src/quarantine/evidence.rs
@@ -6,7 +6,7 @@
 //! is there after 3.7 crashes in the mean, and a sound one that is sent four times with chance 0.0005.
 
 /// Weight of a good end against that of a crash.
-const GOOD_END_WEIGHT: f64 = 0.75;
+const SUCCESSFUL_RUN_WEIGHT: f64 = 0.75;
 
 /// Weight from which on a request is in quarantine, where targets end for no other reason. Each crash costs its
 /// target's other streams.
@@ -19,15 +19,15 @@
 const CERTAIN_WEIGHT: f64 = 6.0;
 
 /// Crashes from which on a request is in quarantine whatever its good ends are: it may end one kind of target only.
-const MOST_CRASHES: usize = 16;
+const CRASH_LIMIT: usize = 16;
 
 /// Targets that ended without the request, and without another that explains it, for which one more crash is asked:
 /// where targets end by themselves, one that was on three of them proves less.
-const ENDS_PER_MORE_WEIGHT: usize = 2;
+const UNEXPLAINED_CRASHES_PER_EXTRA: usize = 2;
 
 /// Most crashes that are asked more. A request that is sent four times and is on four targets that end by themselves
 /// is not stopped then, and one that ends its targets ends two more.
-const MOST_MORE_WEIGHT: usize = 2;
+const MAX_EXTRA_CRASHES: usize = 2;
 
 /// What speaks against a request, and for it.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -35,13 +35,13 @@
     /// Targets that ended while they had it.
     pub(super) crashes: usize,
     /// Runs that came to a good end.
-    pub(super) good_ends: usize,
+    pub(super) successful_runs: usize,
 }
 
 impl Evidence {
     /// How much speaks against the request, in crashes; negative where more speaks for it.
     pub(super) fn weight(self) -> f64 {
-        self.crashes as f64 - GOOD_END_WEIGHT * self.good_ends as f64
+        self.crashes as f64 - SUCCESSFUL_RUN_WEIGHT * self.successful_runs as f64
     }
 
     /// Whether the request is a suspect.
@@ -50,26 +50,26 @@
     }
 
     /// Crashes beyond those after which nothing excuses the request; `None` where there are fewer.
-    pub(super) fn beyond_excuse(self) -> Option<u32> {
+    pub(super) fn crashes_past_certainty(self) -> Option<u32> {
         let beyond = self.weight() - CERTAIN_WEIGHT;
         (beyond >= 0.0).then_some(beyond as u32)
     }
 
     /// Whether one copy of the request is tried again soon: some target has survived it, and it has not cost too many.
-    pub(super) fn allows_probation(self) -> bool {
-        self.good_ends > 0 && self.crashes < MOST_CRASHES
+    pub(super) fn allows_short_quarantine(self) -> bool {
+        self.successful_runs > 0 && self.crashes < CRASH_LIMIT
     }
 
     /// Crashes beyond those that it takes for quarantine, where some targets ended for no reason that is known;
     /// `None` where it takes more.
-    pub(super) fn beyond_quarantine(self, unexplained_ends: usize) -> Option<u32> {
-        let more = (unexplained_ends / ENDS_PER_MORE_WEIGHT).min(MOST_MORE_WEIGHT);
+    pub(super) fn crashes_past_quarantine(self, unexplained_crashes: usize) -> Option<u32> {
+        let more = (unexplained_crashes / UNEXPLAINED_CRASHES_PER_EXTRA).min(MAX_EXTRA_CRASHES);
         let beyond = self.weight() - QUARANTINE_WEIGHT - more as f64;
         if beyond >= 0.0 {
             return Some(beyond as u32);
         }
         self.crashes
-            .checked_sub(MOST_CRASHES)
+            .checked_sub(CRASH_LIMIT)
             .map(|beyond| beyond as u32)
     }
 }
--- a/crates/azuresaddle-sched/src/quarantine/mod.rs
+++ b/crates/azuresaddle-sched/src/quarantine/mod.rs
@@ -8,11 +8,11 @@
 
 mod crash;
 mod evidence;
-mod ledger;
 mod recent;
 mod record;
+mod state;
 
-pub use crash::{Crash, GoodEnd, Learned, TargetLife};
-pub use ledger::Quarantine;
-pub use recent::{RecentGoodEnds, SURVIVAL};
-pub use record::Standing;
+pub use crash::{Crash, CrashStatus, SuccessfulRun, TargetIncarnation};
+pub use recent::{RecentSuccessfulRuns, SURVIVAL_TIME};
+pub use record::RequestStatus;
+pub use state::Quarantine;
--- a/crates/azuresaddle-sched/src/quarantine/recent.rs
+++ b/crates/azuresaddle-sched/src/quarantine/recent.rs
@@ -6,16 +6,16 @@
 use azuresaddle_core::prelude::*;
 use tokio::time::Instant;
 
-use super::crash::GoodEnd;
+use super::crash::SuccessfulRun;
 
 /// Time for which a good end is remembered: callers that ask the same all the time do so several times in it.
-const KEPT: Duration = Duration::from_secs(30);
+const RETENTION: Duration = Duration::from_secs(30);
 
 /// Time after a good end for which its target must have lived on.
-pub const SURVIVAL: Duration = Duration::from_millis(100);
+pub const SURVIVAL_TIME: Duration = Duration::from_millis(100);
 
 /// Good ends of one request that are remembered.
-const MAX_ENDS: usize = 4;
+const MAX_RUNS: usize = 4;
 
 /// Most requests that are remembered; nearly all come once.
 const MAX_REQUESTS: usize = 2048;
@@ -32,16 +32,16 @@
 /// Good ends of late, for the moment in which something is first held against a request: where several targets end
 /// within a second, what speaks for it would come too late otherwise.
 #[derive(Debug, Default)]
-pub struct RecentGoodEnds(HashMap<Fingerprint, VecDeque<Run>>);
+pub struct RecentSuccessfulRuns(HashMap<Fingerprint, VecDeque<Run>>);
 
-impl RecentGoodEnds {
+impl RecentSuccessfulRuns {
     /// Notes a good end.
-    pub fn note(&mut self, now: Instant, end: GoodEnd, target: u64) {
+    pub fn note(&mut self, now: Instant, end: SuccessfulRun, target: u64) {
         if self.0.len() >= MAX_REQUESTS && !self.0.contains_key(&end.fingerprint) {
-            self.make_room(now);
+            self.evict(now);
         }
         let runs = self.0.entry(end.fingerprint).or_default();
-        if runs.len() >= MAX_ENDS {
+        if runs.len() >= MAX_RUNS {
             runs.pop_front();
         }
         runs.push_back(Run {
@@ -58,22 +58,22 @@
         now: Instant,
         request: Fingerprint,
         has_ended: impl Fn(u64) -> bool,
-    ) -> Vec<GoodEnd> {
+    ) -> Vec<SuccessfulRun> {
         let runs = self.0.remove(&request).unwrap_or_default();
-        let speaks_for_it = |run: &Run| {
+        let is_evidence = |run: &Run| {
             let age = now.saturating_duration_since(run.at);
-            (SURVIVAL..KEPT).contains(&age) && !has_ended(run.target)
+            (SURVIVAL_TIME..RETENTION).contains(&age) && !has_ended(run.target)
         };
-        let runs = runs.into_iter().filter(speaks_for_it);
-        runs.map(|run| GoodEnd {
+        let runs = runs.into_iter().filter(is_evidence);
+        runs.map(|run| SuccessfulRun {
             fingerprint: request,
             run: run.run,
         })
         .collect()
     }
 
-    fn make_room(&mut self, now: Instant) {
-        let is_fresh = |run: &Run| now.saturating_duration_since(run.at) < KEPT;
+    fn evict(&mut self, now: Instant) {
+        let is_fresh = |run: &Run| now.saturating_duration_since(run.at) < RETENTION;
         self.0.retain(|_, runs| runs.back().is_some_and(is_fresh));
         if self.0.len() >= MAX_REQUESTS {
             self.0.clear();
--- a/crates/azuresaddle-sched/tests/suite/admission.rs
+++ b/crates/azuresaddle-sched/tests/suite/admission.rs
@@ -10,7 +10,7 @@
 use super::support::{decide, decided, pool, request, stream};
 
 #[test]
-fn what_fits_in_no_pool_is_refused_for_good() {
+fn a_prompt_larger_than_the_pool_is_refused_for_good() {
     let now = Instant::now();
     let mut pool = pool(now, 2, 400_000);
     pool.enqueue(now, request(1, now, 900_000));
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn time_is_kept_for_answers_once_their_length_is_known() {
+fn time_for_the_answer_is_reserved_once_its_length_is_learned() {
     let mut now = Instant::now();
     let mut pool = pool(now, 1, 400_000);
     for number in 0..100 {
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn accounts_are_held_to_their_limits() {
+fn in_flight_limits_of_accounts_are_enforced() {
     let now = Instant::now();
     let mut pool = pool(now, 8, 400_000);
     let limits = AccountLimits {
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn a_token_rate_is_held_to_over_ten_seconds() {
+fn a_token_rate_limit_is_enforced_over_ten_seconds() {
     let now = Instant::now();
     let mut pool = pool(now, 8, 400_000);
     let limits = AccountLimits {
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn a_flooding_account_does_not_pass_others() {
+fn a_flooding_account_does_not_starve_others() {
     let now = Instant::now();
     let mut pool = pool(now, 1, 400_000);
     pool.enqueue(now, request(0, now, 1_000));
--- a/crates/azuresaddle-sched/tests/suite/breaker.rs
+++ b/crates/azuresaddle-sched/tests/suite/breaker.rs
@@ -6,7 +6,7 @@
 use tokio::time::Instant;
 
 #[test]
-fn opens_after_failures_and_returns_slowly() {
+fn opens_after_failures_and_recovers_gradually() {
     let start = Instant::now();
     let mut breaker = Breaker::default();
     breaker.on_failure(start);
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn pauses_longer_after_each_failed_return() {
+fn stays_open_longer_after_each_failed_recovery() {
     let mut now = Instant::now();
     let mut breaker = Breaker::default();
     breaker.on_failure(now);
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_pause_that_a_target_asks_for_opens_it_no_longer_than_that() {
+fn a_requested_back_off_limits_the_open_time() {
     let now = Instant::now();
     let mut breaker = Breaker::default();
     let asked = Duration::from_millis(300);
--- a/crates/azuresaddle-sched/tests/suite/conservation.rs
+++ b/crates/azuresaddle-sched/tests/suite/conservation.rs
@@ -37,7 +37,7 @@
 /// What each running attempt holds, by target, as a caller of the pool would count it.
 type Held = BTreeMap<StreamId, (Vec<HostName>, u64)>;
 
-fn take(pool: &mut Pool, now: Instant, held: &mut Held) {
+fn dispatch(pool: &mut Pool, now: Instant, held: &mut Held) {
     pool.dispatch(now);
     for action in pool.take_actions() {
         if let Action::Reserved(grant) = action {
@@ -91,7 +91,7 @@
                 }
                 Op::Wait(ms) => now += Duration::from_millis(ms),
             }
-            take(&mut pool, now, &mut held);
+            dispatch(&mut pool, now, &mut held);
             for t in 0..TARGETS {
                 let name = engine(t);
                 let on_target = held.values().filter(|(targets, _)| targets.contains(&name));
@@ -106,7 +106,7 @@
         }
         for _ in 0..400 {
             now += Duration::from_secs(2);
-            take(&mut pool, now, &mut held);
+            dispatch(&mut pool, now, &mut held);
             for stream in held.keys() {
                 pool.on_first_token(now, *stream);
                 pool.on_end(now, *stream, Outcome::Done { tokens: 400 });
--- a/crates/azuresaddle-sched/tests/suite/fallback.rs
+++ b/crates/azuresaddle-sched/tests/suite/fallback.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn what_needs_an_owner_is_refused_with_a_time_to_come_back() {
+fn a_request_larger_than_the_share_is_refused_with_a_retry_time() {
     let targets = [FallbackTarget {
         name: HostName::new("e0"),
         memory_tokens: 90_000,
--- a/crates/azuresaddle-sched/tests/suite/passes/rate_limits.rs
+++ b/crates/azuresaddle-sched/tests/suite/passes/rate_limits.rs
@@ -3,7 +3,7 @@
 use azuresaddle_core::deployment::RateLimit;
 
 use super::*;
-use crate::rate_bucket::most_in_a_span;
+use crate::rate_bucket::max_in_any_span;
 
 fn limit(rate: f64) -> RateLimit {
     RateLimit::per_second(rate).unwrap()
@@ -51,9 +51,9 @@
     for engine in [0, 5] {
         let moments = moments_of(&placed, engine);
         assert!(
-            most_in_a_span(&moments) <= 16,
+            max_in_any_span(&moments) <= 16,
             "{}",
-            most_in_a_span(&moments)
+            max_in_any_span(&moments)
         );
     }
     let served = placed.iter().filter(|(id, _)| *id != name(0)).count();
--- a/crates/azuresaddle-sched/tests/suite/passes/suspects.rs
+++ b/crates/azuresaddle-sched/tests/suite/passes/suspects.rs
@@ -97,7 +97,7 @@
             let ask = PassAsk {
                 suspect: (crashes > 0).then(|| Suspect {
                     request: request(n),
-                    keeps_apart: quarantine.is_on_last_crash(now, request(n)),
+                    keeps_apart: quarantine.is_one_crash_from_quarantine(now, request(n)),
                 }),
                 ..ask(at, number, 3000)
             };
@@ -112,7 +112,7 @@
         let ended = ended.expect("the first one finds an engine");
         for (n, number, lead) in on_the_engine {
             if lead == ended {
-                quarantine.observe(at, request(n), crash, at);
+                quarantine.observe_crash(at, request(n), crash, at);
             }
             pool.end(at, id(number), &PassOutcome::Cancelled);
         }
@@ -122,7 +122,7 @@
         }
     }
     for n in 0..10 {
-        let standing = quarantine.standing(now + Duration::from_secs(1), request(n));
+        let standing = quarantine.status(now + Duration::from_secs(1), request(n));
         assert_eq!(standing.is_quarantined(), n == cause, "request {n}");
     }
 }
--- a/crates/azuresaddle-sched/tests/suite/pool.rs
+++ b/crates/azuresaddle-sched/tests/suite/pool.rs
@@ -9,7 +9,7 @@
 use super::support::{decide, decided, engine, pool, request, stream};
 
 #[test]
-fn a_repeated_request_is_one_request() {
+fn a_duplicate_request_is_ignored() {
     let now = Instant::now();
     let mut pool = pool(now, 2, 400_000);
     pool.enqueue(now, request(1, now, 1_000));
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_leaving_target_gets_nothing_new() {
+fn a_leaving_target_gets_no_new_requests() {
     let now = Instant::now();
     let mut pool = pool(now, 2, 400_000);
     pool.set_leaving(&engine(0), true);
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn a_new_incarnation_has_lost_its_streams() {
+fn a_new_incarnation_releases_the_streams_of_the_last() {
     let now = Instant::now();
     let mut pool = pool(now, 1, 400_000);
     pool.on_incarnation(now, &engine(0), Incarnation(1));
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn a_new_owner_adopts_what_runs() {
+fn a_new_owner_adopts_running_streams() {
     let now = Instant::now();
     let mut pool = pool(now, 2, 400_000);
     let live = LiveStream {
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn a_prefill_that_ends_early_is_not_waited_for() {
+fn a_cancelled_prefill_no_longer_adds_to_the_expected_wait() {
     let now = Instant::now();
     let mut pool = pool(now, 2, 400_000);
     for number in 0..2 {
--- a/crates/azuresaddle-sched/tests/suite/pool_choice.rs
+++ b/crates/azuresaddle-sched/tests/suite/pool_choice.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn the_own_domain_is_preferred_until_it_is_busy() {
+fn the_local_domain_is_preferred_until_it_is_busy() {
     let any = PoolChoice::ShortestWait;
     let digests = [
         (digest("here", 0, 9_000), 0),
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_pool_that_is_too_small_is_left_out() {
+fn a_pool_that_is_too_small_is_skipped() {
     let digests = [
         (digest("here", 0, 1_000), 0),
         (digest("there", 0, 9_000), 0),
--- a/crates/azuresaddle-sched/tests/suite/prefix_index.rs
+++ b/crates/azuresaddle-sched/tests/suite/prefix_index.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn late_events_are_ignored() {
+fn old_events_are_ignored() {
     let mut index = PrefixIndex::default();
     index.replace(10, [1]);
     index.apply(CacheEvent {
--- a/crates/azuresaddle-sched/tests/suite/quarantine.rs
+++ b/crates/azuresaddle-sched/tests/suite/quarantine.rs
@@ -3,7 +3,9 @@
 use std::time::Duration;
 
 use azuresaddle_core::prelude::*;
-use azuresaddle_sched::quarantine::{Crash, GoodEnd, Learned, Quarantine, Standing, TargetLife};
+use azuresaddle_sched::quarantine::{
+    Crash, CrashStatus, Quarantine, RequestStatus, SuccessfulRun, TargetIncarnation,
+};
 use proptest::prelude::*;
 use tokio::time::Instant;
 
@@ -16,12 +18,12 @@
 pub(crate) fn crash(n: u32, target: u64) -> Crash {
     Crash {
         fingerprint: request(n),
-        target: TargetLife { target, number: 0 },
+        target: TargetIncarnation { target, number: 0 },
     }
 }
 
-pub(crate) fn good_end(n: u32, run: u64) -> GoodEnd {
-    GoodEnd {
+pub(crate) fn successful_run(n: u32, run: u64) -> SuccessfulRun {
+    SuccessfulRun {
         fingerprint: request(n),
         run,
     }
@@ -30,76 +32,75 @@
 pub(crate) fn with_crashes(now: Instant, targets: u64) -> Quarantine {
     let mut quarantine = Quarantine::default();
     for target in 0..targets {
-        assert_eq!(quarantine.on_crash(now, crash(1, target)), Learned::New);
+        assert_eq!(quarantine.on_crash(now, crash(1, target)), CrashStatus::New);
     }
     quarantine
 }
 
 #[tokio::test(start_paused = true)]
-async fn three_targets_that_ended_under_a_request_quarantine_it() {
+async fn three_crashed_targets_quarantine_a_request() {
     let now = Instant::now();
     assert_eq!(
-        with_crashes(now, 0).standing(now, request(1)),
-        Standing::Clear
+        with_crashes(now, 0).status(now, request(1)),
+        RequestStatus::Clear
     );
     for targets in 1..3 {
         let quarantine = with_crashes(now, targets);
-        assert_eq!(quarantine.standing(now, request(1)), Standing::Suspect);
+        assert_eq!(quarantine.status(now, request(1)), RequestStatus::Suspect);
     }
     let quarantine = with_crashes(now, 3);
-    assert!(quarantine.standing(now, request(1)).is_quarantined());
-    assert_eq!(quarantine.standing(now, request(2)), Standing::Clear);
+    assert!(quarantine.status(now, request(1)).is_quarantined());
+    assert_eq!(quarantine.status(now, request(2)), RequestStatus::Clear);
     assert_eq!(quarantine.quarantined(now).count(), 3);
 }
 
 /// Several nodes see the same end of a target, and each tells all others of it.
 #[tokio::test(start_paused = true)]
-async fn one_end_of_a_target_counts_once() {
+async fn one_crash_of_a_target_counts_once() {
     let now = Instant::now();
     let mut quarantine = with_crashes(now, 1);
     for _ in 0..9 {
-        assert_eq!(quarantine.on_crash(now, crash(1, 0)), Learned::Known);
+        assert_eq!(quarantine.on_crash(now, crash(1, 0)), CrashStatus::Known);
     }
-    assert_eq!(quarantine.standing(now, request(1)), Standing::Suspect);
+    assert_eq!(quarantine.status(now, request(1)), RequestStatus::Suspect);
 }
 
 /// While the store is down the new start of a target under its name is not known; nodes send a request there again.
 #[tokio::test(start_paused = true)]
-async fn a_target_that_takes_a_request_after_its_end_has_another_life() {
+async fn a_target_that_runs_a_request_after_its_crash_has_a_new_incarnation() {
     let now = Instant::now();
     let mut quarantine = Quarantine::default();
     let second = Duration::from_secs(1);
     for n in 0..3 {
         let sent_at = now + 2 * second * n;
         let ended_at = sent_at + second;
-        let crash = quarantine.observe(ended_at, request(1), 7, sent_at);
+        let crash = quarantine.observe_crash(ended_at, request(1), 7, sent_at);
         assert_eq!(crash.map(|c| u32::from(c.target.number)), Some(n));
         // Another copy of the request was on the same target.
-        assert_eq!(quarantine.observe(ended_at, request(1), 7, sent_at), None);
+        assert_eq!(
+            quarantine.observe_crash(ended_at, request(1), 7, sent_at),
+            None
+        );
     }
     let end = now + 6 * second;
-    assert!(quarantine.standing(end, request(1)).is_quarantined());
+    assert!(quarantine.status(end, request(1)).is_quarantined());
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_quarantine_ends_by_itself_and_one_more_crash_doubles_it() {
+async fn a_quarantine_expires_and_one_more_crash_doubles_it() {
     let now = Instant::now();
     let mut quarantine = with_crashes(now, 3);
     let ten = now + 10 * MINUTE;
-    assert!(
-        quarantine
-            .standing(ten - MINUTE, request(1))
-            .is_quarantined()
-    );
-    assert_eq!(quarantine.standing(ten, request(1)), Standing::Suspect);
+    assert!(quarantine.status(ten - MINUTE, request(1)).is_quarantined());
+    assert_eq!(quarantine.status(ten, request(1)), RequestStatus::Suspect);
     quarantine.on_crash(ten, crash(1, 3));
-    let left = Standing::Quarantined { left: 20 * MINUTE };
-    assert_eq!(quarantine.standing(ten, request(1)), left);
+    let left = RequestStatus::Quarantined { left: 20 * MINUTE };
+    assert_eq!(quarantine.status(ten, request(1)), left);
     assert_eq!(
-        quarantine.standing(ten + 20 * MINUTE, request(1)),
-        Standing::Suspect
+        quarantine.status(ten + 20 * MINUTE, request(1)),
+        RequestStatus::Suspect
     );
-    quarantine.forget_old(ten + 31 * MINUTE);
+    quarantine.remove_expired(ten + 31 * MINUTE);
     assert!(quarantine.is_empty());
 }
 
@@ -107,9 +108,9 @@
 async fn a_single_crash_is_forgotten() {
     let now = Instant::now();
     let mut quarantine = with_crashes(now, 1);
-    quarantine.forget_old(now + 9 * MINUTE);
+    quarantine.remove_expired(now + 9 * MINUTE);
     assert_eq!(quarantine.len(), 1);
-    quarantine.forget_old(now + 11 * MINUTE);
+    quarantine.remove_expired(now + 11 * MINUTE);
     assert!(quarantine.is_empty());
 }
 
@@ -122,7 +123,7 @@
         quarantine.on_crash(now, crash(n, 1));
     }
     assert!(quarantine.len() <= 4096);
-    assert!(quarantine.standing(now, request(1)).is_quarantined());
+    assert!(quarantine.status(now, request(1)).is_quarantined());
 }
 
 /// A dozen streams were on the same three engines, one after the other, as the request that ended these.
@@ -136,13 +137,13 @@
         }
     }
     for n in 1..=12 {
-        assert_eq!(quarantine.standing(now, request(n)), Standing::Suspect);
-        assert!(quarantine.is_on_last_crash(now, request(n)));
+        assert_eq!(quarantine.status(now, request(n)), RequestStatus::Suspect);
+        assert!(quarantine.is_one_crash_from_quarantine(now, request(n)));
     }
     quarantine.on_crash(now, crash(1, 3));
     for n in 1..=12 {
-        let standing = quarantine.standing(now, request(n));
-        assert_eq!(standing.is_quarantined(), n == 1, "request {n}");
+        let status = quarantine.status(now, request(n));
+        assert_eq!(status.is_quarantined(), n == 1, "request {n}");
     }
     assert!(
         quarantine
@@ -153,66 +154,66 @@
 
 /// The other one that was there came to a good end, so it was not the cause.
 #[tokio::test(start_paused = true)]
-async fn a_good_end_of_its_companion_leaves_one_cause() {
+async fn a_successful_run_clears_the_other_suspect() {
     let now = Instant::now();
     let mut quarantine = with_crashes(now, 3);
     for target in 0..3 {
         quarantine.on_crash(now, crash(2, target));
     }
-    assert_eq!(quarantine.standing(now, request(1)), Standing::Suspect);
-    quarantine.on_good_end(now, good_end(2, 1));
-    assert!(quarantine.standing(now, request(1)).is_quarantined());
+    assert_eq!(quarantine.status(now, request(1)), RequestStatus::Suspect);
+    quarantine.on_successful_run(now, successful_run(2, 1));
+    assert!(quarantine.status(now, request(1)).is_quarantined());
 }
 
 proptest! {
     /// Nodes hear of the same crashes in different orders.
     #[test]
-    fn the_order_of_news_does_not_matter(targets in proptest::collection::vec(0u64..6, 0..20)) {
+    fn the_order_of_crash_reports_does_not_matter(targets in proptest::collection::vec(0u64..6, 0..20)) {
         let now = Instant::now();
         let mut sorted = targets.clone();
         sorted.sort_unstable();
-        let standing = |targets: &[u64]| {
+        let status = |targets: &[u64]| {
             let mut quarantine = Quarantine::default();
             for target in targets {
                 quarantine.on_crash(now, crash(1, *target));
             }
-            quarantine.standing(now, request(1))
+            quarantine.status(now, request(1))
         };
-        prop_assert_eq!(standing(&targets), standing(&sorted));
+        prop_assert_eq!(status(&targets), status(&sorted));
     }
 }
 
 /// A target has ended under one request, started again unseen, and ends under two: the one that is new there counted
 /// this end as the target's first, so the two were not on the same targets.
 #[tokio::test(start_paused = true)]
-async fn requests_on_one_target_that_started_again_unseen_have_the_same_ends() {
+async fn requests_on_a_target_that_restarted_unnoticed_share_its_crash() {
     const TARGET: u64 = 7;
     let mut quarantine = Quarantine::default();
     let at = |ms| Instant::now() + Duration::from_millis(ms);
-    let first = quarantine.observe(at(100), request(1), TARGET, at(0));
+    let first = quarantine.observe_crash(at(100), request(1), TARGET, at(0));
     assert_eq!(first.map(|c| c.target.number), Some(0));
-    let second = quarantine.observe(at(300), request(1), TARGET, at(200));
-    let beside = quarantine.observe(at(301), request(2), TARGET, at(210));
+    let second = quarantine.observe_crash(at(300), request(1), TARGET, at(200));
+    let beside = quarantine.observe_crash(at(301), request(2), TARGET, at(210));
     assert_eq!(second.map(|c| c.target.number), Some(1));
     assert_eq!(beside.map(|c| c.target), second.map(|c| c.target));
     // Another send to the life that ended tells nothing new.
     assert_eq!(
-        quarantine.observe(at(302), request(2), TARGET, at(220)),
+        quarantine.observe_crash(at(302), request(2), TARGET, at(220)),
         None
     );
 }
 
 /// A kept connection to a target that has just ended breaks a moment after the end is known.
 #[tokio::test(start_paused = true)]
-async fn a_send_right_after_the_end_of_a_target_meets_the_same_end() {
+async fn a_send_right_after_a_crash_counts_as_the_same_crash() {
     const TARGET: u64 = 7;
     let mut quarantine = Quarantine::default();
     let at = |ms| Instant::now() + Duration::from_millis(ms);
-    let first = quarantine.observe(at(100), request(1), TARGET, at(0));
-    let beside = quarantine.observe(at(106), request(2), TARGET, at(103));
+    let first = quarantine.observe_crash(at(100), request(1), TARGET, at(0));
+    let beside = quarantine.observe_crash(at(106), request(2), TARGET, at(103));
     assert_eq!(beside.map(|c| c.target), first.map(|c| c.target));
     assert_eq!(
-        quarantine.observe(at(107), request(1), TARGET, at(103)),
+        quarantine.observe_crash(at(107), request(1), TARGET, at(103)),
         None
     );
 }
@@ -220,13 +221,13 @@
 /// A target that had ended came back unseen and served a request; its new start, heard of later, was taken for the end of
 /// that run.
 #[tokio::test(start_paused = true)]
-async fn a_send_after_a_known_end_is_told_from_one_before_it() {
+async fn a_send_after_a_known_crash_is_distinguished_from_one_before_it() {
     const TARGET: u64 = 7;
     let mut quarantine = Quarantine::default();
     let at = |ms| Instant::now() + Duration::from_millis(ms);
-    assert!(!quarantine.has_ended_before(TARGET, at(300)));
-    quarantine.observe(at(100), request(1), TARGET, at(0));
-    assert!(!quarantine.has_ended_before(TARGET, at(50)));
-    assert!(quarantine.has_ended_before(TARGET, at(300)));
-    assert!(!quarantine.has_ended_before(TARGET + 1, at(300)));
+    assert!(!quarantine.has_crashed_before(TARGET, at(300)));
+    quarantine.observe_crash(at(100), request(1), TARGET, at(0));
+    assert!(!quarantine.has_crashed_before(TARGET, at(50)));
+    assert!(quarantine.has_crashed_before(TARGET, at(300)));
+    assert!(!quarantine.has_crashed_before(TARGET + 1, at(300)));
 }
--- a/crates/azuresaddle-sched/tests/suite/rate_bucket.rs
+++ b/crates/azuresaddle-sched/tests/suite/rate_bucket.rs
@@ -15,11 +15,11 @@
 }
 
 /// Most that may pass in a span.
-fn allowed(rate: f64) -> usize {
+fn max_allowed_per_span(rate: f64) -> usize {
     (1.5 * rate * SPAN.as_secs_f64()) as usize + 5
 }
 
-pub(super) fn most_in_a_span(passed: &[Instant]) -> usize {
+pub(super) fn max_in_any_span(passed: &[Instant]) -> usize {
     let in_span = |(n, start): (usize, &Instant)| {
         let end = *start + SPAN;
         passed[n..].iter().take_while(|at| **at < end).count()
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn the_whole_rate_is_used_and_no_more() {
+fn the_full_rate_is_used_but_not_exceeded() {
     let now = Instant::now();
     for rate in [0.3, 1.0, 1.9, 10.0, 100.0] {
         let mut bucket = RateBucket::new(now, limit(rate));
@@ -55,18 +55,21 @@
 }
 
 #[test]
-fn a_pause_does_not_add_to_the_next_span() {
+fn idle_time_does_not_raise_the_next_burst_above_the_limit() {
     let now = Instant::now();
     for rate in [1.0, 10.0, 100.0] {
         let mut bucket = RateBucket::new(now, limit(rate));
         let later = now + Duration::from_secs(3600);
         let passed = take_all(&mut bucket, later, SPAN * 2);
-        assert!(most_in_a_span(&passed) <= allowed(rate), "{rate}");
+        assert!(
+            max_in_any_span(&passed) <= max_allowed_per_span(rate),
+            "{rate}"
+        );
     }
 }
 
 #[test]
-fn a_lower_limit_counts_at_once() {
+fn a_lower_limit_applies_at_once() {
     let now = Instant::now();
     let mut bucket = RateBucket::new(now, limit(10.0));
     take_all(&mut bucket, now, Duration::from_secs(2));
@@ -77,7 +80,7 @@
 }
 
 #[test]
-fn a_target_that_takes_nothing_gets_a_request_now_and_then() {
+fn a_limit_of_zero_still_allows_occasional_probes() {
     let now = Instant::now();
     let mut bucket = RateBucket::new(now, limit(0.0));
     let passed = take_all(&mut bucket, now, Duration::from_secs(60));
@@ -86,7 +89,7 @@
 }
 
 #[test]
-fn a_very_large_limit_is_none() {
+fn a_very_large_limit_allows_every_request() {
     let now = Instant::now();
     let mut bucket = RateBucket::new(now, limit(1e300));
     let passed = take_all(&mut bucket, now + SPAN, SPAN);
@@ -95,7 +98,7 @@
 
 /// The counting moves from one node to another, also while both count for a moment.
 #[test]
-fn a_change_of_the_counting_node_keeps_the_limit() {
+fn the_limit_holds_when_the_owning_node_changes() {
     let now = Instant::now();
     for rate in [1.0, 1.9, 10.0] {
         for overlap in [0, 500, 1000].map(Duration::from_millis) {
@@ -107,14 +110,17 @@
                 from += SPAN;
             }
             passed.sort_unstable();
-            let most = most_in_a_span(&passed);
-            assert!(most <= allowed(rate), "{rate}, {overlap:?}: {most}");
+            let most = max_in_any_span(&passed);
+            assert!(
+                most <= max_allowed_per_span(rate),
+                "{rate}, {overlap:?}: {most}"
+            );
         }
     }
 }
 
 #[test]
-fn nothing_passes_while_another_node_counts() {
+fn a_suspended_bucket_allows_nothing_and_resumes_empty() {
     let now = Instant::now();
     let mut bucket = RateBucket::new(now, limit(10.0));
     bucket.suspend();
@@ -127,7 +133,7 @@
 
 proptest! {
     #[test]
-    fn no_pattern_of_asks_and_limits_breaks_the_highest_limit(
+    fn no_sequence_of_requests_and_limits_exceeds_the_highest_limit(
         steps in proptest::collection::vec((0_u64..2000, 0_u32..40, 0.0..20.0_f64), 1..60),
     ) {
         let mut now = Instant::now();
@@ -139,6 +145,6 @@
             bucket.set_limit(now, limit(rate));
             passed.extend((0..asks).filter(|_| bucket.take(now)).map(|_| now));
         }
-        prop_assert!(most_in_a_span(&passed) <= allowed(highest));
+        prop_assert!(max_in_any_span(&passed) <= max_allowed_per_span(highest));
     }
 }
--- a/crates/azuresaddle-standin/src/passes/world/crashes.rs
+++ b/crates/azuresaddle-standin/src/passes/world/crashes.rs
@@ -6,7 +6,7 @@
 
 use azuresaddle_core::prelude::*;
 use azuresaddle_sched::passes::{PassOutcome, Suspect};
-use azuresaddle_sched::quarantine::Standing;
+use azuresaddle_sched::quarantine::RequestStatus;
 
 use super::{Event, Stream, TO_OWNER_MS, World, ask_id};
 use crate::passes::engine::EngineModel;
@@ -29,7 +29,7 @@
     pub(super) fn is_quarantined(&self, at_ms: f64, i: usize) -> bool {
         let standing = self
             .quarantine
-            .standing(self.instant(at_ms), self.fingerprint(i));
+            .status(self.instant(at_ms), self.fingerprint(i));
         self.policy.has_quarantine() && standing.is_quarantined()
     }
 
@@ -40,10 +40,10 @@
             return None;
         }
         let now = self.instant(at_ms);
-        let is_suspect = self.quarantine.standing(now, request) != Standing::Clear;
+        let is_suspect = self.quarantine.status(now, request) != RequestStatus::Clear;
         is_suspect.then(|| Suspect {
             request,
-            keeps_apart: self.quarantine.is_on_last_crash(now, request),
+            keeps_apart: self.quarantine.is_one_crash_from_quarantine(now, request),
         })
     }
 
@@ -77,7 +77,7 @@
         let request = self.fingerprint(i);
         let sent_at = now - Duration::from_millis(1);
         self.quarantine
-            .observe(now, request, engine as u64, sent_at);
+            .observe_crash(now, request, engine as u64, sent_at);
         let lead = self.streams[i].engines[0];
         let name = self.names[lead].clone();
         for engine in std::mem::take(&mut self.streams[i].engines) {
