--- a/crates/azuresaddle-sched/src/quarantine/recent.rs
+++ b/crates/azuresaddle-sched/src/quarantine/recent.rs
@@ -36,17 +36,17 @@
 
 impl RecentSuccessfulRuns {
     /// Notes a good end.
-    pub fn note(&mut self, now: Instant, end: SuccessfulRun, target: u64) {
-        if self.0.len() >= MAX_REQUESTS && !self.0.contains_key(&end.fingerprint) {
+    pub fn note(&mut self, now: Instant, run: SuccessfulRun, target: u64) {
+        if self.0.len() >= MAX_REQUESTS && !self.0.contains_key(&run.fingerprint) {
             self.evict(now);
         }
-        let runs = self.0.entry(end.fingerprint).or_default();
+        let runs = self.0.entry(run.fingerprint).or_default();
         if runs.len() >= MAX_RUNS {
             runs.pop_front();
         }
         runs.push_back(Run {
             at: now,
-            run: end.run,
+            run: run.run,
             target,
         });
     }
--- a/crates/azuresaddle-sched/src/quarantine/state.rs
+++ b/crates/azuresaddle-sched/src/quarantine/state.rs
@@ -71,12 +71,12 @@
     ) -> TargetIncarnation {
         let own = self.records.get(&request);
         let own = own.and_then(|r| r.last_crashed_incarnation_of(target));
-        let ends = self
+        let crashes = self
             .crashed_targets
             .iter()
             .filter(|(incarnation, _)| incarnation.target == target);
-        let all = ends
-            .map(|(incarnation, end)| (incarnation.number, end.at))
+        let all = crashes
+            .map(|(incarnation, crashed)| (incarnation.number, crashed.at))
             .chain(own);
         let number = match all.max_by_key(|(number, _)| *number) {
             None => 0,
@@ -92,15 +92,15 @@
             .record(now, crash.fingerprint)
             .on_crash(now, crash.target);
         if learned == CrashStatus::New {
-            let end = self
-                .crashed_targets
-                .entry(crash.target)
-                .or_insert_with(|| CrashedTarget {
-                    at: now,
-                    requests: Vec::new(),
-                });
-            if end.requests.len() < MAX_REQUESTS_PER_CRASH {
-                end.requests.push(crash.fingerprint);
+            let crashed =
+                self.crashed_targets
+                    .entry(crash.target)
+                    .or_insert_with(|| CrashedTarget {
+                        at: now,
+                        requests: Vec::new(),
+                    });
+            if crashed.requests.len() < MAX_REQUESTS_PER_CRASH {
+                crashed.requests.push(crash.fingerprint);
             }
         }
         learned
@@ -108,8 +108,8 @@
 
     /// Notes that a run of a request came to a good end which its target survived. False where that was known, or
     /// makes no difference any more.
-    pub fn on_successful_run(&mut self, now: Instant, end: SuccessfulRun) -> bool {
-        self.record(now, end.fingerprint).on_successful_run(end.run)
+    pub fn on_successful_run(&mut self, now: Instant, run: SuccessfulRun) -> bool {
+        self.record(now, run.fingerprint).on_successful_run(run.run)
     }
 
     /// Ends a quarantine by an operator's word: what is known now is not held against the request again. False where
@@ -118,9 +118,9 @@
         let Some(record) = self.records.get_mut(&request) else {
             return false;
         };
-        let was_held = record.crashed_incarnations().next().is_some();
+        let had_crashes = record.crashed_incarnations().next().is_some();
         record.dismiss_crashes();
-        was_held
+        had_crashes
     }
 
     /// Whether the end of a target is known, by the hash of its name and start.
@@ -132,8 +132,8 @@
 
     /// Whether an end of a target is known from before a send to it: what it runs then, it runs in a later start.
     pub fn has_crashed_before(&self, target: u64, sent_at: Instant) -> bool {
-        let mut ends = self.crashed_targets.iter();
-        ends.any(|(incarnation, end)| incarnation.target == target && end.at < sent_at)
+        let mut crashes = self.crashed_targets.iter();
+        crashes.any(|(incarnation, crashed)| incarnation.target == target && crashed.at < sent_at)
     }
 
     /// Whether something is known of a request.
@@ -180,12 +180,12 @@
     fn unexplained_evidence(&self, request: Fingerprint, record: &Record) -> Evidence {
         let own = record.evidence().weight();
         let is_unexplained = |incarnation: &TargetIncarnation| {
-            let there = self
+            let requests = self
                 .crashed_targets
                 .get(incarnation)
                 .into_iter()
                 .flat_map(|e| &e.requests);
-            let mut others = there.filter(|r| **r != request);
+            let mut others = requests.filter(|r| **r != request);
             !others.any(|other| self.weight(*other) > own)
         };
         record.evidence_with(record.crashed_incarnations().filter(is_unexplained).count())
@@ -210,10 +210,10 @@
 
     /// Targets that ended of late without the request, and without any that was on another one that ended.
     fn unexplained_crashes(&self, now: Instant, request: Fingerprint) -> usize {
-        let is_unexplained = |end: &&CrashedTarget| {
-            now.saturating_duration_since(end.at) < RECENT_CRASH_AGE
-                && !end.requests.contains(&request)
-                && !end.requests.iter().any(|r| self.weight(*r) > 1.0)
+        let is_unexplained = |crashed: &&CrashedTarget| {
+            now.saturating_duration_since(crashed.at) < RECENT_CRASH_AGE
+                && !crashed.requests.contains(&request)
+                && !crashed.requests.iter().any(|r| self.weight(*r) > 1.0)
         };
         self.crashed_targets.values().filter(is_unexplained).count()
     }
@@ -226,10 +226,10 @@
     /// those of the others.
     fn has_equal_suspect(&self, request: Fingerprint, record: &Record) -> bool {
         let last = record.crashed_incarnations().last();
-        let there = last.and_then(|incarnation| self.crashed_targets.get(&incarnation));
-        let there = there.into_iter().flat_map(|e| &e.requests);
+        let requests = last.and_then(|incarnation| self.crashed_targets.get(&incarnation));
+        let requests = requests.into_iter().flat_map(|e| &e.requests);
         let own = record.evidence().weight();
-        there.filter(|r| **r != request).any(|other| {
+        requests.filter(|r| **r != request).any(|other| {
             let other = self.records.get(other);
             other.is_some_and(|other| {
                 other.includes_crashes_of(record) && other.evidence().weight() >= own
@@ -274,9 +274,12 @@
 
     /// Forgets what no longer matters.
     pub fn remove_expired(&mut self, now: Instant) {
-        let ends: HashMap<Fingerprint, Instant> = self.expiries(now).collect();
-        self.records
-            .retain(|request, _| ends.get(request).is_some_and(|end| now < *end));
+        let expiries: HashMap<Fingerprint, Instant> = self.expiries(now).collect();
+        self.records.retain(|request, _| {
+            expiries
+                .get(request)
+                .is_some_and(|expires_at| now < *expires_at)
+        });
         self.remove_forgotten_requests();
     }
 
@@ -291,10 +294,11 @@
 
     /// Forgets which requests were on a target, as far as these are forgotten.
     fn remove_forgotten_requests(&mut self) {
-        self.crashed_targets.retain(|_, end| {
-            end.requests
+        self.crashed_targets.retain(|_, crashed| {
+            crashed
+                .requests
                 .retain(|request| self.records.contains_key(request));
-            !end.requests.is_empty()
+            !crashed.requests.is_empty()
         });
     }
 
@@ -314,12 +318,12 @@
         if self.records.len() < MAX_RECORDS {
             return;
         }
-        let mut ends: Vec<(Instant, Fingerprint)> = self
+        let mut expiries: Vec<(Instant, Fingerprint)> = self
             .expiries(now)
-            .map(|(request, end)| (end, request))
+            .map(|(request, expires_at)| (expires_at, request))
             .collect();
-        ends.sort_unstable();
-        for (_, request) in ends.iter().take(EVICTION_BATCH) {
+        expiries.sort_unstable();
+        for (_, request) in expiries.iter().take(EVICTION_BATCH) {
             self.records.remove(request);
         }
         self.remove_forgotten_requests();
