--- a/crates/azuresaddle-sched/src/quarantine/crash.rs
+++ b/crates/azuresaddle-sched/src/quarantine/crash.rs
@@ -1,43 +1,43 @@
-//! A target that ended while it had a request, and a run that its target survived.
+//! Crashes of targets while they run a request, and runs that their targets survive.
 
 use azuresaddle_core::prelude::*;
 use serde::{Deserialize, Serialize};
 
-/// Identifies one incarnation of a target, so that the same end is counted once, whoever saw it.
+/// Identifies one incarnation of a target, so that a crash is counted once, however many nodes report it.
 ///
-/// A target may start again under its name while nobody can read of its new start; that it took a request after its
-/// end is known tells that it did.
+/// A target may restart under its name while its new start can't be read, for example while the store is down. A
+/// request that it takes after a known crash shows that it has restarted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TargetIncarnation {
-    /// Hash of the target's name and of its start, as far as that is known.
+    /// Hash of the target's name and of its start, as far as the start is known.
     pub target: u64,
-    /// Number of this incarnation among those that seem to have the same start.
+    /// Sequence number among the incarnations that appear to have the same start.
     pub number: u8,
 }
 
-/// A target ended while it had a request.
+/// A target crashed while it was running a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Crash {
     /// The request.
     pub fingerprint: Fingerprint,
-    /// The incarnation of the target that ended.
+    /// The incarnation of the target that crashed.
     pub target: TargetIncarnation,
 }
 
-/// A run came to a good end, and its target lived on.
+/// A run completed and its target survived it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct SuccessfulRun {
     /// The request.
     pub fingerprint: Fingerprint,
-    /// Identifies the run, so that it is counted once, whoever tells of it.
+    /// Identifies the run, so that it is counted once, however many nodes report it.
     pub run: u64,
 }
 
-/// What a node makes of a crash that it is told of.
+/// Whether a reported crash was new to this node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CrashStatus {
-    /// It was not known.
+    /// The crash was not known.
     New,
-    /// It was known, or an operator has ended a quarantine by it.
+    /// The crash was known, or was dismissed when an operator lifted the quarantine.
     Known,
 }
--- a/crates/azuresaddle-sched/src/quarantine/mod.rs
+++ b/crates/azuresaddle-sched/src/quarantine/mod.rs
@@ -1,10 +1,10 @@
-//! Which requests are kept from all targets, since they crash whichever runs them.
+//! Quarantine of requests that crash the targets that run them.
 //!
-//! Answers the load of one request that comes again at any node and ends a target each time, together with
-//! the streams of other callers there. A target that ends is held against every request that it had, so the
-//! others on it are suspects for a while. What tells them apart: their good ends elsewhere, each of which counts for
-//! less than a crash; that another request on the same target has more against it; and how many targets end without
-//! the request.
+//! Guards against a request that is repeated at any node and crashes a target each time, together with the streams of
+//! other callers there. Each crash of a target counts against every request that was running on it, so the others are
+//! suspects for a while. The cause is distinguished by the successful runs of the others on other targets, each of which
+//! weighs less than a crash; by stronger evidence against another request on the same target; and by the number of
+//! targets that crash without the request.
 
 mod crash;
 mod evidence;
--- a/crates/azuresaddle-sched/src/quarantine/recent.rs
+++ b/crates/azuresaddle-sched/src/quarantine/recent.rs
@@ -1,4 +1,4 @@
-//! Good ends of requests against which nothing is held yet.
+//! Recent successful runs of requests without any known crash.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -8,19 +8,20 @@
 
 use super::crash::SuccessfulRun;
 
-/// Time for which a good end is remembered: callers that ask the same all the time do so several times in it.
+/// Time for which a successful run is remembered: long enough for several runs of a request that callers repeat all the
+/// time.
 const RETENTION: Duration = Duration::from_secs(30);
 
-/// Time after a good end for which its target must have lived on.
+/// Time that the target must survive after a run for the run to count as successful.
 pub const SURVIVAL_TIME: Duration = Duration::from_millis(100);
 
-/// Good ends of one request that are remembered.
+/// Maximum number of runs remembered per request.
 const MAX_RUNS: usize = 4;
 
-/// Most requests that are remembered; nearly all come once.
+/// Maximum number of requests remembered; nearly all are sent only once.
 const MAX_REQUESTS: usize = 2048;
 
-/// A run that came to a good end.
+/// A completed run.
 #[derive(Clone, Copy, Debug)]
 struct Run {
     at: Instant,
@@ -29,13 +30,14 @@
     target: u64,
 }
 
-/// Good ends of late, for the moment in which something is first held against a request: where several targets end
-/// within a second, what speaks for it would come too late otherwise.
+/// Recent successful runs, used when the first crash under a request is reported.
+///
+/// If several targets crash within a second, runs after the first crash would come too late to count for the request.
 #[derive(Debug, Default)]
 pub struct RecentSuccessfulRuns(HashMap<Fingerprint, VecDeque<Run>>);
 
 impl RecentSuccessfulRuns {
-    /// Notes a good end.
+    /// Records a completed run.
     pub fn note(&mut self, now: Instant, run: SuccessfulRun, target: u64) {
         if self.0.len() >= MAX_REQUESTS && !self.0.contains_key(&run.fingerprint) {
             self.evict(now);
@@ -51,8 +53,9 @@
         });
     }
 
-    /// Takes the good ends of a request which their targets survived: `has_ended` tells of a target whether it is known
-    /// to have ended since.
+    /// Removes the runs of a request and returns those that their targets survived.
+    ///
+    /// `has_ended` tells whether a target, given by its hash, is known to have ended since.
     pub fn take(
         &mut self,
         now: Instant,
--- a/crates/azuresaddle-sched/src/quarantine/record.rs
+++ b/crates/azuresaddle-sched/src/quarantine/record.rs
@@ -1,4 +1,4 @@
-//! What is known of one request.
+//! Crashes and successful runs recorded for one request.
 
 use std::time::Duration;
 
@@ -7,65 +7,66 @@
 use super::crash::{CrashStatus, TargetIncarnation};
 use super::evidence::Evidence;
 
-/// First time in quarantine: callers that repeat a request do so for seconds or minutes, and a fault of targets
-/// is mended in hours.
+/// Duration of the first quarantine: callers repeat a request for seconds or minutes, and a fault in the targets is
+/// fixed within hours.
 const INITIAL_QUARANTINE: Duration = Duration::from_secs(600);
 
-/// Most times that it doubles, with one crash more each; 80 minutes is the longest.
+/// Maximum number of times that the duration doubles, once per further crash; the longest quarantine is 80 minutes.
 const MAX_DOUBLINGS: u32 = 3;
 
-/// First time in quarantine of a request that some target has survived: it may be a sound one that all callers ask, on
-/// targets that others end. One copy of it is tried then.
+/// Duration of the first quarantine of a request that some target has survived: it may be a harmless one that many
+/// callers send, on targets that other requests crash. One copy of it is tried afterwards.
 const INITIAL_SHORT_QUARANTINE: Duration = Duration::from_secs(3);
 
-/// Most times that this doubles: a sound one is not to be held back for long after the targets are well again.
+/// Maximum number of times that the short quarantine doubles: a harmless request must not be held back for long once
+/// the targets work again.
 const MAX_SHORT_DOUBLINGS: u32 = 1;
 
-/// Most crashes that are told apart: as many as it takes to stop a request whatever its good ends are.
+/// Maximum number of crashes recorded: as many as quarantine a request despite any number of successful runs.
 const MAX_RECORDED_CRASHES: usize = 16;
 
-/// Good ends that are counted for each crash: enough that a request which most targets survive is never stopped, and
-/// few enough that one which all ask for is not told of with each answer.
+/// Successful runs counted per crash: enough that a request which most targets survive is never quarantined, and few
+/// enough that a popular request is not reported to other nodes with each answer.
 const SUCCESSFUL_RUNS_PER_CRASH: usize = 4;
 
-/// Time after the last crash, or after a quarantine, for which a record is kept.
+/// Time for which a record is kept after the last crash or the end of the quarantine.
 const RETENTION: Duration = Duration::from_secs(600);
 
-/// How a request stands.
+/// Status of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestStatus {
-    /// Nothing that matters is held against it.
+    /// There is no relevant evidence against it.
     Clear,
-    /// Targets have ended while they had the request, and little speaks for it.
+    /// Targets have crashed while running it, and successful runs do not offset that.
     Suspect,
-    /// It is sent to no target.
+    /// It is not sent to any target.
     Quarantined {
-        /// Time until it may be tried again.
+        /// Time until it may be sent again.
         left: Duration,
     },
 }
 
 impl RequestStatus {
-    /// Whether the request is sent to no target.
+    /// Whether the request is in quarantine.
     pub fn is_quarantined(self) -> bool {
         matches!(self, Self::Quarantined { .. })
     }
 }
 
-/// A crash and when this node heard of it.
+/// A crash and when this node learned of it.
 #[derive(Clone, Copy, Debug)]
 struct RecordedCrash {
     target: TargetIncarnation,
     at: Instant,
 }
 
-/// What is known of one request.
+/// Crashes and successful runs of one request.
 #[derive(Clone, Debug)]
 pub(super) struct Record {
     crashes: Vec<RecordedCrash>,
-    /// Runs that came to a good end.
+    /// Identifiers of the successful runs.
     successful_runs: Vec<u64>,
-    /// Crashes that no longer count since an operator said so.
+    /// Crashes that no longer count because an operator lifted the quarantine.
     dismissed: Vec<TargetIncarnation>,
     last_crash_at: Instant,
 }
@@ -80,14 +81,14 @@
         }
     }
 
-    /// Number of the last incarnation of a target that is known to have ended, and when this node heard of its end.
+    /// Number of the last incarnation of a target that is known to have crashed, and when this node learned of it.
     pub(super) fn last_crashed_incarnation_of(&self, target: u64) -> Option<(u8, Instant)> {
         let known = self.crashes.iter().filter(|k| k.target.target == target);
         let last = known.max_by_key(|k| k.target.number)?;
         Some((last.target.number, last.at))
     }
 
-    /// Notes a crash.
+    /// Records a crash.
     pub(super) fn on_crash(&mut self, now: Instant, target: TargetIncarnation) -> CrashStatus {
         let is_known = self
             .crashed_incarnations()
@@ -103,7 +104,7 @@
         CrashStatus::New
     }
 
-    /// Notes that a run of the request came to a good end; false where it was known or no more are counted.
+    /// Records a successful run; false if it was known or no more are counted.
     pub(super) fn on_successful_run(&mut self, run: u64) -> bool {
         let most = SUCCESSFUL_RUNS_PER_CRASH * (self.crashes.len() + 1);
         if self.successful_runs.len() >= most || self.successful_runs.contains(&run) {
@@ -113,7 +114,7 @@
         true
     }
 
-    /// Forgets what is held against the request, for good.
+    /// Dismisses all recorded crashes; they don't count if they are reported again.
     pub(super) fn dismiss_crashes(&mut self) {
         let crashed_incarnations = self.crashes.drain(..).map(|k| k.target);
         self.dismissed.extend(crashed_incarnations);
@@ -121,12 +122,12 @@
         self.dismissed.drain(..surplus);
     }
 
-    /// All that speaks against the request and for it.
+    /// All evidence against and for the request.
     pub(super) fn evidence(&self) -> Evidence {
         self.evidence_with(self.crashes.len())
     }
 
-    /// The same where only some of the crashes can be its doing.
+    /// The evidence if only `crashes` of the recorded crashes count against the request.
     pub(super) fn evidence_with(&self, crashes: usize) -> Evidence {
         Evidence {
             crashes,
@@ -134,7 +135,7 @@
         }
     }
 
-    /// CrashedTarget of the quarantine after so many crashes more than it takes: one more crash after it begins another one,
+    /// End of the quarantine after `beyond` crashes more than it requires: a further crash starts another quarantine,
     /// twice as long.
     pub(super) fn quarantined_until(&self, beyond: u32) -> Instant {
         let time = if self.evidence().allows_short_quarantine() {
@@ -145,25 +146,25 @@
         self.last_crash_at + time
     }
 
-    /// Whether all targets that ended under another request ended under this one too.
+    /// Whether this record contains all crashes of another one.
     pub(super) fn includes_crashes_of(&self, other: &Self) -> bool {
         other
             .crashed_incarnations()
             .all(|incarnation| self.crashed_incarnations().any(|l| l == incarnation))
     }
 
-    /// Lives of targets that ended.
+    /// Target incarnations that crashed while running the request.
     pub(super) fn crashed_incarnations(&self) -> impl Iterator<Item = TargetIncarnation> {
         self.crashes.iter().map(|k| k.target)
     }
 
-    /// Runs that came to a good end.
+    /// Identifiers of the successful runs.
     pub(super) fn successful_runs(&self) -> impl Iterator<Item = u64> {
         self.successful_runs.iter().copied()
     }
 
-    /// When nothing of it matters any more; `beyond` as for [`Self::quarantined_until`], `None` where it never was in
-    /// quarantine.
+    /// When the record can be removed; `beyond` as for [`Self::quarantined_until`], `None` if the evidence does not
+    /// suffice for a quarantine.
     pub(super) fn expires_at(&self, beyond: Option<u32>) -> Instant {
         let quarantined_until = beyond.map(|b| self.quarantined_until(b));
         quarantined_until.unwrap_or(self.last_crash_at) + RETENTION
--- a/crates/azuresaddle-sched/src/quarantine/state.rs
+++ b/crates/azuresaddle-sched/src/quarantine/state.rs
@@ -1,4 +1,4 @@
-//! What is known of which request.
+//! Crash records of all requests known to one node.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -10,34 +10,34 @@
 use super::evidence::Evidence;
 use super::record::{Record, RequestStatus};
 
-/// Most requests that something is known of, about 2 MB: the streams of 250 targets that end within ten
-/// minutes, 16 each.
+/// Maximum number of records, about 2 MB: enough for the streams of 250 targets that crash within ten minutes, 16
+/// streams each.
 const MAX_RECORDS: usize = 4096;
 
-/// Records that are forgotten when there is no room, so that each new one does not look through all.
+/// Number of records evicted at once when the table is full, so that not every new record requires a full scan.
 const EVICTION_BATCH: usize = 64;
 
-/// Most requests of one target that are held against each other: several times what a target runs.
+/// Maximum number of requests recorded per crashed target: several times what a target runs.
 const MAX_REQUESTS_PER_CRASH: usize = 64;
 
-/// Shortest time in which a target starts again; what was sent sooner after its end has met the same end.
+/// Shortest time in which a target restarts; a send that fails sooner after a crash belongs to the same crash.
 const RESTART_TIME: Duration = Duration::from_millis(50);
 
-/// Age up to which the end of a target says how often targets end by themselves.
+/// Age up to which crashes count towards how often targets crash on their own.
 const RECENT_CRASH_AGE: Duration = Duration::from_secs(60);
 
-/// A target that ended.
+/// A crashed target incarnation.
 #[derive(Clone, Debug)]
 struct CrashedTarget {
-    /// When this node first heard of it.
+    /// When this node first learned of the crash.
     at: Instant,
-    /// Requests that it had.
+    /// Requests that it was running.
     requests: Vec<Fingerprint>,
 }
 
-/// What is held against requests, as one node knows it.
+/// Quarantine state of all requests, as known to one node.
 ///
-/// Nodes that tell each other all crashes and good ends hold the same against a request, in whatever order they hear of
+/// Nodes that exchange all crashes and successful runs arrive at the same evidence in whatever order they learn of
 /// them.
 #[derive(Debug, Default)]
 pub struct Quarantine {
@@ -46,7 +46,8 @@
 }
 
 impl Quarantine {
-    /// Notes that a target ended under a send of this node that began at `sent_at`. The crash, where it is not known.
+    /// Records that a target crashed during a send of this node that began at `sent_at`; returns the crash if it is
+    /// new.
     pub fn observe_crash(
         &mut self,
         now: Instant,
@@ -61,8 +62,10 @@
         (self.on_crash(now, crash) == CrashStatus::New).then_some(crash)
     }
 
-    /// The incarnation of a target that ended under a send which began at `sent_at`: another one where the end of the last is
-    /// known from before, under whichever request. Requests that were there together are told apart from others by it.
+    /// The incarnation of a target that crashed during a send which began at `sent_at`.
+    ///
+    /// It is a new one if a crash of the last one, under any request, is known from before the send. So requests that
+    /// were on the target at the same time share an incarnation, and others don't.
     fn incarnation_of(
         &self,
         request: Fingerprint,
@@ -86,7 +89,7 @@
         TargetIncarnation { target, number }
     }
 
-    /// Notes a crash that another node has seen.
+    /// Records a crash, whether seen here or reported by another node.
     pub fn on_crash(&mut self, now: Instant, crash: Crash) -> CrashStatus {
         let learned = self
             .record(now, crash.fingerprint)
@@ -106,14 +109,13 @@
         learned
     }
 
-    /// Notes that a run of a request came to a good end which its target survived. False where that was known, or
-    /// makes no difference any more.
+    /// Records a successful run of a request; false if it was known or no more runs are counted.
     pub fn on_successful_run(&mut self, now: Instant, run: SuccessfulRun) -> bool {
         self.record(now, run.fingerprint).on_successful_run(run.run)
     }
 
-    /// Ends a quarantine by an operator's word: what is known now is not held against the request again. False where
-    /// nothing was.
+    /// Lifts the quarantine of a request for an operator: its known crashes don't count again. False if there were
+    /// none.
     pub fn lift(&mut self, request: Fingerprint) -> bool {
         let Some(record) = self.records.get_mut(&request) else {
             return false;
@@ -123,20 +125,20 @@
         had_crashes
     }
 
-    /// Whether the end of a target is known, by the hash of its name and start.
+    /// Whether a crash of a target is known, by the hash of its name and start.
     pub fn knows_crash_of(&self, target: u64) -> bool {
         self.crashed_targets
             .keys()
             .any(|incarnation| incarnation.target == target)
     }
 
-    /// Whether an end of a target is known from before a send to it: what it runs then, it runs in a later start.
+    /// Whether a crash of a target is known from before a send to it, so that a later incarnation got the send.
     pub fn has_crashed_before(&self, target: u64, sent_at: Instant) -> bool {
         let mut crashes = self.crashed_targets.iter();
         crashes.any(|(incarnation, crashed)| incarnation.target == target && crashed.at < sent_at)
     }
 
-    /// Whether something is known of a request.
+    /// Whether there is a record of a request.
     pub fn knows(&self, request: Fingerprint) -> bool {
         self.records.contains_key(&request)
     }
@@ -149,7 +151,7 @@
         record.or_insert_with(|| Record::new(now))
     }
 
-    /// How a request stands.
+    /// Status of a request.
     pub fn status(&self, now: Instant, request: Fingerprint) -> RequestStatus {
         let Some(record) = self.records.get(&request) else {
             return RequestStatus::Clear;
@@ -176,7 +178,7 @@
         }
     }
 
-    /// What speaks against a request, without the ends of targets that another one there explains better.
+    /// Evidence on a request, without the crashes that another request on the same target explains better.
     fn unexplained_evidence(&self, request: Fingerprint, record: &Record) -> Evidence {
         let own = record.evidence().weight();
         let is_unexplained = |incarnation: &TargetIncarnation| {
@@ -196,19 +198,20 @@
         record.map_or(0.0, |r| r.evidence().weight())
     }
 
-    /// Crashes beyond those that it takes for quarantine; `None` where it takes more.
+    /// Number of crashes beyond those required for quarantine; `None` if more are required.
     fn crashes_past_quarantine(
         &self,
         now: Instant,
         request: Fingerprint,
         evidence: Evidence,
     ) -> Option<u32> {
-        // Most requests are far from it; the ends of others need not be looked through for them.
+        // Most requests are far from quarantine; this avoids scanning the other crashes for them.
         evidence.crashes_past_quarantine(0)?;
         evidence.crashes_past_quarantine(self.unexplained_crashes(now, request))
     }
 
-    /// Targets that ended of late without the request, and without any that was on another one that ended.
+    /// Number of targets that crashed recently without the request and without any request whose net evidence exceeds
+    /// one crash.
     fn unexplained_crashes(&self, now: Instant, request: Fingerprint) -> usize {
         let is_unexplained = |crashed: &&CrashedTarget| {
             now.saturating_duration_since(crashed.at) < RECENT_CRASH_AGE
@@ -218,12 +221,12 @@
         self.crashed_targets.values().filter(is_unexplained).count()
     }
 
-    /// Whether another request was on all targets that ended under this one and has as much against it, so that either
-    /// may be the cause.
+    /// Whether another request was on all crashed targets of this one and has at least as much evidence against it, so
+    /// that either may be the cause.
     ///
-    /// Streams of an engine that ends go on together at the next one, and their callers come back together. The next
-    /// crash tells them apart, since suspects don't share an engine then: the cause has one more, and explains
-    /// those of the others.
+    /// The streams of a crashed engine resume on the next one together, and their callers retry together. The next
+    /// crash distinguishes them, because suspects don't share an engine by then: the cause has one more crash, which
+    /// explains those of the others.
     fn has_equal_suspect(&self, request: Fingerprint, record: &Record) -> bool {
         let last = record.crashed_incarnations().last();
         let requests = last.and_then(|incarnation| self.crashed_targets.get(&incarnation));
@@ -237,7 +240,7 @@
         })
     }
 
-    /// Whether one more crash brings a request into quarantine.
+    /// Whether one more crash would put a request into quarantine.
     pub fn is_one_crash_from_quarantine(&self, now: Instant, request: Fingerprint) -> bool {
         let Some(record) = self.records.get(&request) else {
             return false;
@@ -254,7 +257,7 @@
         record.map_or(Vec::new(), |r| crashes(request, r).collect())
     }
 
-    /// Good ends of one request.
+    /// Successful runs of one request.
     pub fn successful_runs_of(&self, request: Fingerprint) -> Vec<SuccessfulRun> {
         let record = self.records.get(&request);
         let runs = record.into_iter().flat_map(Record::successful_runs);
@@ -265,14 +268,14 @@
         .collect()
     }
 
-    /// Crashes of all requests in quarantine, for a node that may not know of them.
+    /// Crashes of all requests in quarantine, to be sent to a node that may not know them.
     pub fn quarantined(&self, now: Instant) -> impl Iterator<Item = Crash> {
         let all = self.records.iter();
         all.filter(move |(request, _)| self.status(now, **request).is_quarantined())
             .flat_map(|(request, r)| crashes(*request, r))
     }
 
-    /// Forgets what no longer matters.
+    /// Removes expired records.
     pub fn remove_expired(&mut self, now: Instant) {
         let expiries: HashMap<Fingerprint, Instant> = self.expiries(now).collect();
         self.records.retain(|request, _| {
@@ -283,7 +286,7 @@
         self.remove_forgotten_requests();
     }
 
-    /// When nothing of each request matters any more.
+    /// Expiry time of each record.
     fn expiries(&self, now: Instant) -> impl Iterator<Item = (Fingerprint, Instant)> {
         self.records.iter().map(move |(request, record)| {
             let evidence = self.unexplained_evidence(*request, record);
@@ -292,7 +295,7 @@
         })
     }
 
-    /// Forgets which requests were on a target, as far as these are forgotten.
+    /// Removes requests without a record from the crashed targets, and targets without any request left.
     fn remove_forgotten_requests(&mut self) {
         self.crashed_targets.retain(|_, crashed| {
             crashed
@@ -302,17 +305,17 @@
         });
     }
 
-    /// Number of requests that something is known of.
+    /// Number of requests with a record.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether nothing is known of any request.
+    /// Whether there are no records.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Forgets the records that end first; those in quarantine end after the others.
+    /// Makes room by removing the records that expire first; those in quarantine expire after the others.
     fn evict(&mut self, now: Instant) {
         self.remove_expired(now);
         if self.records.len() < MAX_RECORDS {
