--- a/crates/azuresaddle-sched/src/pool/admission.rs
+++ b/crates/azuresaddle-sched/src/pool/admission.rs
@@ -11,20 +11,22 @@
 use crate::queue::{QueueEntry, WaitKey};
 use crate::reservation_request::ReservationRequest;
 
-/// Weight of one step of priority, as time in the queue.
+/// Change of a request's due time per priority step.
 const PRIORITY_STEP: Duration = Duration::from_secs(1);
 
-/// Wait that is allowed for each unit of prefill time, in the order of the queue.
+/// Wait before a request is due, as a multiple of its prefill time.
 const WAIT_PER_PREFILL: u32 = 8;
 
-/// When to come back while the pool has no usable target or its queue is full.
+/// Retry delay if the queue is full, no target is usable or the retry budget is used up.
 const UNAVAILABLE_RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// Shortest time to come back that is told.
+/// Shortest retry delay returned to a client.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
 
 impl Pool {
-    /// Takes a request; it is reserved or refused by a later action. A repeated one is ignored.
+    /// Adds a request to the queue; a later action grants or refuses it.
+    ///
+    /// A request that is already waiting or running is ignored.
     pub fn enqueue(&mut self, now: Instant, request: ReservationRequest) {
         if self.knows(request.stream) {
             return;
@@ -99,7 +101,8 @@
         Ok(())
     }
 
-    /// The latest start that leaves time for the answer.
+    /// Returns the latest start that leaves time for the answer, or refuses the request if the
+    /// expected wait is longer.
     fn check_deadline(
         &self,
         now: Instant,
@@ -122,7 +125,7 @@
         Ok(latest)
     }
 
-    /// Expected wait of a new request of a class, from the work before it.
+    /// Expected wait of a new request of a class, based on the queued and running work.
     pub(super) fn expected_wait(&self, now: Instant, class: Class) -> Duration {
         let open = self
             .targets
@@ -139,7 +142,7 @@
             Class::Long => self.max_long_targets(now),
         };
         let busy = match class {
-            // Targets are kept for short prompts, so what runs seldom delays them.
+            // Targets are reserved for short prompts, so running prefills seldom delay them.
             Class::Short => Duration::ZERO,
             Class::Long => running,
         };
@@ -158,7 +161,7 @@
         }
     }
 
-    /// Takes a request out of the queue without a reservation.
+    /// Removes a request from the queue without a reservation.
     pub(super) fn withdraw(&mut self, key: WaitKey) -> Option<StreamId> {
         let waiting = self.queue.remove(key)?;
         self.usage.release(&waiting.request.account);
@@ -183,10 +186,11 @@
     }
 }
 
-/// When a request should have started.
+/// Time by which a request should start; the queue is ordered by it.
 ///
-/// The wait allowed grows with the prefill, so that a prompt does not wait behind much longer ones,
-/// and is at most half of the time that the deadline leaves, so that the longest start in time.
+/// The allowed wait grows with the prefill, so that a prompt does not wait behind much longer ones.
+/// It is at most half of the time until the latest start, so that the longest prompts start in
+/// time.
 fn due_time(
     now: Instant,
     request: &ReservationRequest,
--- a/crates/azuresaddle-sched/src/pool/dispatch.rs
+++ b/crates/azuresaddle-sched/src/pool/dispatch.rs
@@ -12,20 +12,21 @@
 use crate::reservation_request::ReservationRequest;
 use crate::target::{Target, TargetKey};
 
-/// Most waiting requests of a class that are tried in one pass over the queue.
+/// Maximum number of waiting requests of a class that are tried in one pass over the queue.
 const MAX_TRIED: usize = 32;
 
-/// Part of the usual rate below which a target counts as slow.
+/// Fraction of the reference rate below which a target counts as slow.
 const SLOW_RATE: f64 = 0.4;
 
-/// Part of a target's memory that one prompt may take; a larger one is split over more targets.
+/// Fraction of a target's memory that one request may use; larger requests are split across
+/// targets.
 const MAX_MEMORY_SHARE: f64 = 0.5;
 
-/// Pause between tries of a slow target.
+/// Interval between requests sent to a slow target to measure its rate again.
 const SLOW_PROBE_INTERVAL: Duration = Duration::from_secs(5);
 
 impl Pool {
-    /// Gives out all reservations that can be given now, and refuses what is overdue.
+    /// Grants all reservations that are possible now and refuses overdue requests.
     pub fn dispatch(&mut self, now: Instant) {
         self.refuse_overdue(now);
         for class in Class::ALL {
@@ -36,7 +37,7 @@
         }
     }
 
-    /// Reserves for the first request of a class that fits; false where none does.
+    /// Grants a reservation to the first request of a class that fits; false if none does.
     fn dispatch_one(&mut self, now: Instant, class: Class) -> bool {
         if self.queue.is_class_empty(class) {
             return false;
@@ -62,7 +63,7 @@
         true
     }
 
-    /// Finds out what can be given to a class now.
+    /// Determines the targets that a class may use now.
     fn begin_round(&self, now: Instant, class: Class) -> Round {
         let (room, none_running) = match class {
             Class::Short => (usize::MAX, false),
@@ -98,7 +99,7 @@
         self.actions.push(Action::Reserved(grant));
     }
 
-    /// Targets that can take a prefill of the class now.
+    /// Targets that can accept a prefill of the class now.
     fn candidates(&self, now: Instant, class: Class) -> Vec<TargetKey> {
         let ahead = match class {
             Class::Short => self.options.prefill_lead_time,
@@ -113,7 +114,7 @@
             .collect()
     }
 
-    /// Targets for a request, if it fits now.
+    /// Chooses the targets for a request; `None` if it does not fit now.
     fn place(
         &self,
         now: Instant,
@@ -124,7 +125,8 @@
         let waiting = self.queue.get(key)?;
         let request = &waiting.request;
         let members = self.member_count_for(request);
-        // One that needs more targets than the class may have runs when none of the class does.
+        // A request that needs more targets than the class may use runs if no other of its class is
+        // running.
         let room = round.room.saturating_add(self.drained_for(key));
         if members == 0 || (members > room && !round.none_running) {
             return None;
@@ -158,7 +160,7 @@
         Some(fitting)
     }
 
-    /// Orders targets for a request: earliest first token, then the fullest that still fits.
+    /// Orders targets for a request: earliest first token, then least free memory (best fit).
     fn compare(
         &self,
         now: Instant,
@@ -171,13 +173,13 @@
             let tokens = self.uncached_tokens(key, &request.prefix, request.prompt_tokens);
             let wait = target.prefill_ends_at.saturating_duration_since(now);
             let first_token = wait + target.rate.time_for(tokens);
-            // Rates differ by noise; whole milliseconds keep that from deciding.
+            // Rounding to milliseconds keeps measurement noise in the rates from deciding.
             (first_token.as_millis(), target.free())
         };
         rank(a).cmp(&rank(b))
     }
 
-    /// Targets whose memory the request needs together; 0 where the pool is too small.
+    /// Number of targets whose memory the request needs; 0 if the pool is too small.
     pub(super) fn member_count_for(&self, request: &ReservationRequest) -> usize {
         let usable = self.targets.values();
         let usable = usable.filter(|t| !t.leaving && !request.exclude.contains(&t.spec.name));
@@ -196,7 +198,7 @@
             .unwrap_or(0)
     }
 
-    /// Most targets that may run long prefills now.
+    /// Maximum number of targets that may run long prefills now.
     pub(super) fn max_long_targets(&self, now: Instant) -> usize {
         let open = self
             .targets
@@ -205,7 +207,7 @@
         self.demand.max_long_targets(open.count())
     }
 
-    /// Prompt tokens that a target has to process.
+    /// Prompt tokens that a target has to process because they are not in its prefix cache.
     pub(super) fn uncached_tokens(
         &self,
         key: TargetKey,
@@ -220,7 +222,7 @@
         prompt_tokens.saturating_sub(cached as u64) as f64
     }
 
-    /// Prompt tokens to process on the open target that has most of the prompt cached.
+    /// Fewest prompt tokens that any available target would have to process.
     pub(super) fn best_uncached_tokens(&self, now: Instant, request: &ReservationRequest) -> f64 {
         if !self.options.prefix_affinity || request.prefix.is_empty() {
             return request.prompt_tokens as f64;
@@ -233,7 +235,7 @@
             .unwrap_or(request.prompt_tokens as f64)
     }
 
-    /// Rate below which a target counts as slow, in tokens a second.
+    /// Rate below which a target counts as slow, in tokens per second.
     fn slow_rate(&self) -> f64 {
         if self.options.avoid_slow {
             SLOW_RATE * self.reference_rate()
@@ -243,17 +245,18 @@
     }
 }
 
-/// Fewest targets, the largest first, of whose memory a request needs at most `share` each.
+/// Fewest targets, largest first, such that the request needs at most `share` of the memory of
+/// each.
 fn min_member_count(sizes: &[u64], needed: u64, share: f64) -> Option<usize> {
-    // Each member holds an equal part, so the smallest member decides.
+    // The members hold equal parts, so the smallest one is the limit.
     (1..=sizes.len()).find(|n| sizes[n - 1] as f64 * share >= needed.div_ceil(*n as u64) as f64)
 }
 
-/// What can be given to a class in one pass over its queue.
+/// Targets available to a class in one pass over its queue.
 struct Round {
     candidates: Vec<TargetKey>,
-    /// Targets that the class may still take.
+    /// Number of further targets that the class may use.
     room: usize,
-    /// Whether nothing of the class runs.
+    /// Whether no long prefill is running; always false for short requests.
     none_running: bool,
 }
--- a/crates/azuresaddle-sched/src/pool/drains.rs
+++ b/crates/azuresaddle-sched/src/pool/drains.rs
@@ -1,4 +1,4 @@
-//! Bounded draining for requests that do not fit yet.
+//! Draining of a limited number of targets for requests that do not fit yet.
 
 use std::time::Duration;
 
@@ -10,14 +10,15 @@
 use crate::queue::WaitKey;
 use crate::target::{Target, TargetKey};
 
-/// Part of the targets that may be drained at a time; one request's worth is always allowed.
+/// Fraction of the targets that may be drained concurrently; the targets of one request are always
+/// allowed.
 const MAX_DRAINED_SHARE: f64 = 0.25;
 
-/// Waiting requests at the head of a class that may have targets drained for them.
+/// Number of requests at the head of each class for which targets may be drained.
 const MAX_DRAIN_DEPTH: usize = 8;
 
 impl Pool {
-    /// Starts drains for the first requests that no target has room for.
+    /// Starts drains for the first requests of each class that don't fit in the free memory.
     pub(super) fn plan_drains(&mut self, now: Instant) {
         for class in Class::ALL {
             let heads: Vec<_> = self.queue.in_order(class).take(MAX_DRAIN_DEPTH).collect();
@@ -53,7 +54,7 @@
         let has_room = |target: &&Target| usable(target) && target.free() >= memory;
         let usable_count = self.targets.values().filter(|t| usable(t)).count();
         if usable_count < members || self.targets.values().filter(has_room).count() >= members {
-            // Either it can't be helped, or only a prefill slot is missing.
+            // Either draining can't free enough targets, or only a prefill slot is missing.
             return;
         }
         let mut choices: Vec<(Instant, TargetKey)> = self
@@ -76,7 +77,7 @@
         }
     }
 
-    /// When a target is expected to have that much memory free.
+    /// When a target is expected to have `memory` tokens free.
     fn memory_free_at(&self, now: Instant, key: TargetKey, memory: u64) -> Instant {
         let target = &self.targets[key];
         let mut free = target.free();
@@ -97,7 +98,8 @@
         now + self.answers.mean_time()
     }
 
-    /// Whether a request may use a target in spite of a drain.
+    /// Whether a request may use a target: it is not drained, or drained for this request, or the
+    /// request is expected to end before the drain does.
     pub(super) fn respects_drain(
         &self,
         now: Instant,
@@ -111,7 +113,7 @@
         drain.wait == key || now + prefill + self.answers.mean_time() <= drain.ready_at
     }
 
-    /// Number of targets that are drained for a request.
+    /// Number of targets drained for a request.
     pub(super) fn drained_for(&self, wait: WaitKey) -> usize {
         let own = self.drains.values().filter(|d| d.wait == wait);
         own.map(|d| d.targets.len()).sum()
--- a/crates/azuresaddle-sched/src/pool/events.rs
+++ b/crates/azuresaddle-sched/src/pool/events.rs
@@ -1,4 +1,4 @@
-//! Events of running reservations.
+//! Events of waiting and running attempts.
 
 use std::time::Duration;
 
@@ -10,11 +10,11 @@
 use crate::reservation::LiveStream;
 use crate::target::TargetKey;
 
-/// Pause of a target that refused what should have fitted.
+/// Time without new reservations after a target refused a request that should have fitted.
 const REFUSED_PAUSE: Duration = Duration::from_millis(500);
 
 impl Pool {
-    /// Notes the first token of an attempt: its prefill slots are free.
+    /// Records the first token of an attempt and frees its prefill slots.
     pub fn on_first_token(&mut self, now: Instant, stream: StreamId) {
         let Some(key) = self.by_stream.get(&stream).copied() else {
             return;
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Ends an attempt that waits or runs; unknown ones are ignored.
+    /// Ends a waiting or running attempt; unknown attempts are ignored.
     pub fn on_end(&mut self, now: Instant, stream: StreamId, outcome: Outcome) {
         if let Some(key) = self.queue.find(stream) {
             self.withdraw(key);
@@ -53,9 +53,10 @@
         }
     }
 
-    /// Notes that an attempt failed on its target, which may still hold its memory.
+    /// Records the failure of an attempt whose end its targets have not confirmed.
     ///
-    /// The reservation stays until [`Self::on_end`] or a new incarnation of the target.
+    /// The targets may still hold its memory, so the reservation stays until [`Self::on_end`] or a
+    /// new incarnation of the target.
     pub fn on_unconfirmed_failure(&mut self, now: Instant, stream: StreamId) {
         let Some(key) = self.by_stream.get(&stream) else {
             return;
@@ -65,14 +66,14 @@
         }
     }
 
-    /// Moves an attempt to another node, which relays its answer from now on.
+    /// Records that another node now relays the answer of an attempt.
     pub fn on_taken_over(&mut self, stream: StreamId, node: HostName) {
         if let Some(key) = self.by_stream.get(&stream) {
             self.reservations[*key].node = node;
         }
     }
 
-    /// Targets that hold memory for an attempt; none for one that waits or is unknown.
+    /// Targets that hold memory for an attempt; empty if it is waiting or unknown.
     pub fn targets_of(&self, stream: StreamId) -> Vec<HostName> {
         self.by_stream
             .get(&stream)
@@ -80,7 +81,8 @@
             .unwrap_or_default()
     }
 
-    /// Attempts that the ledger has on a target for longer than `age` but that are not listed.
+    /// Attempts that have been in the ledger of a target for longer than `age` but are not in
+    /// `listed`.
     pub fn missing_on(
         &self,
         now: Instant,
--- a/crates/azuresaddle-sched/src/pool/ledger.rs
+++ b/crates/azuresaddle-sched/src/pool/ledger.rs
@@ -1,4 +1,4 @@
-//! The exact ledger of memory and prefill slots.
+//! Ledger of the memory and prefill slots reserved on each target.
 
 use azuresaddle_core::prelude::*;
 use tokio::time::Instant;
@@ -11,11 +11,12 @@
 use crate::reservation::{LiveStream, Reservation, ReservationKey};
 use crate::target::{Target, TargetKey};
 
-/// Short prompts that must fit in a target's free memory for it to count as usable for them.
+/// Number of maximum-length short prompts that must fit in a target's free memory for it to count
+/// as usable for the short class.
 const MIN_SHORT_PROMPTS: u64 = 2;
 
 impl Pool {
-    /// Reserves memory and a prefill slot on each of the targets, in one step.
+    /// Reserves memory and a prefill slot on all the given targets at once.
     pub(super) fn reserve(&mut self, now: Instant, waiting: Waiting, keys: &[TargetKey]) -> Grant {
         let request = waiting.request;
         let members = keys.len() as u64;
@@ -56,9 +57,9 @@
         }
     }
 
-    /// Takes over a stream that a target runs, as a new owner does.
+    /// Adds a running stream reported by a target to the ledger, when a new owner takes over.
     ///
-    /// A stream on several targets is adopted from each of them in turn.
+    /// Call it once per target for a stream that is split across several.
     pub fn adopt(&mut self, now: Instant, target: &HostName, live: &LiveStream) {
         let Some(target_key) = self.target_names.get(target).copied() else {
             return;
@@ -107,7 +108,7 @@
         target.reservations.push(key);
     }
 
-    /// Gives back what a reservation holds on one target.
+    /// Releases the memory and prefill slot that a reservation holds on one target.
     pub(super) fn release_on(&mut self, now: Instant, key: ReservationKey, target_key: TargetKey) {
         let reservation = &mut self.reservations[key];
         reservation.targets.retain(|t| *t != target_key);
@@ -120,7 +121,7 @@
         }
     }
 
-    /// Ends a reservation and gives back all that it holds.
+    /// Ends a reservation and releases it on all its targets.
     pub(super) fn end_reservation(&mut self, now: Instant, key: ReservationKey, outcome: Outcome) {
         for target in self.reservations[key].targets.clone() {
             self.release_on(now, key, target);
@@ -135,8 +136,8 @@
         }
     }
 
-    /// Number of targets that short prompts can't use: they run a long prefill, lack memory, or
-    /// are drained for a long prompt.
+    /// Number of targets that short prompts can't use because they run a long prefill, lack memory
+    /// or are being drained.
     pub(super) fn taken_targets(&self) -> usize {
         let room = MIN_SHORT_PROMPTS * self.options.short_max_tokens;
         let is_taken = |t: &&Target| {
@@ -146,7 +147,7 @@
         self.targets.values().filter(is_taken).count()
     }
 
-    /// Whether any target runs a long prefill.
+    /// Whether any target is running a long prefill.
     pub(super) fn any_long_prefill(&self) -> bool {
         self.targets.values().any(|t| self.runs_long_prefill(t))
     }
--- a/crates/azuresaddle-sched/src/pool/mod.rs
+++ b/crates/azuresaddle-sched/src/pool/mod.rs
@@ -1,4 +1,4 @@
-//! A pool: one queue and one memory ledger.
+//! Scheduler of a pool, with its queue and its memory ledger.
 
 mod admission;
 mod dispatch;
@@ -30,8 +30,8 @@
 
 /// Schedules the requests of one pool.
 ///
-/// Call [`Pool::dispatch`] after a batch of events and when [`Pool::next_wakeup`] has come, then
-/// carry out what [`Pool::take_actions`] returns.
+/// Call [`Pool::dispatch`] after each batch of events and at [`Pool::next_wakeup`], then carry out
+/// the actions that [`Pool::take_actions`] returns.
 #[derive(Debug)]
 pub struct Pool {
     options: PoolOptions,
@@ -50,7 +50,7 @@
 }
 
 impl Pool {
-    /// An empty pool.
+    /// Creates a pool without targets.
     pub fn new(now: Instant, options: PoolOptions) -> Self {
         let answers = AnswerTimes::new(options.initial_decode_step);
         Self {
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Decisions since the last call.
+    /// Returns and clears the actions decided since the last call.
     pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
@@ -85,12 +85,12 @@
         self.reservations.len()
     }
 
-    /// Whether the attempt waits or runs here.
+    /// Whether the attempt is waiting or running in this pool.
     pub fn knows(&self, stream: StreamId) -> bool {
         self.by_stream.contains_key(&stream) || self.queue.find(stream).is_some()
     }
 
-    /// Summary for the choice among pools.
+    /// Summary of this pool, sent to other nodes for [`choose_pool`](crate::choose_pool).
     pub fn digest(&self, now: Instant, pool: PoolId) -> PoolDigest {
         let usable = || self.targets.values().filter(|t| t.accepts_work(now));
         PoolDigest {
@@ -105,7 +105,7 @@
         }
     }
 
-    /// When [`Self::dispatch`] has to be called if nothing happens before.
+    /// When to call [`Self::dispatch`] next if no event occurs before; `None` while nothing waits.
     pub fn next_wakeup(&self, now: Instant) -> Option<Instant> {
         if self.queue.len() == 0 {
             return None;
@@ -114,7 +114,7 @@
             .targets
             .values()
             .filter_map(|t| self.next_change(now, t));
-        // An overdue request is found by a strictly later time.
+        // A request is overdue only strictly after its latest start.
         let overdue = self
             .queue
             .next_start_by()
@@ -122,7 +122,7 @@
         ready.chain(overdue).min()
     }
 
-    /// When a target may come to take work by time alone.
+    /// When a target may next become available without any event.
     fn next_change(&self, now: Instant, target: &Target) -> Option<Instant> {
         let ready = (target.prefilling.len() == 1 && !self.options.prefill_lead_time.is_zero())
             .then(|| {
--- a/crates/azuresaddle-sched/src/pool/targets.rs
+++ b/crates/azuresaddle-sched/src/pool/targets.rs
@@ -1,4 +1,4 @@
-//! Targets that come, change and go.
+//! Addition, update and removal of targets.
 
 use azuresaddle_core::prelude::*;
 use tokio::time::Instant;
@@ -9,7 +9,7 @@
 use crate::target::{Target, TargetKey, TargetSpec};
 
 impl Pool {
-    /// Adds a target or updates what is known of it.
+    /// Adds a target or updates its configuration.
     pub fn upsert_target(&mut self, now: Instant, spec: TargetSpec) {
         if let Some(key) = self.target_names.get(&spec.name) {
             self.targets[*key].spec = spec;
@@ -21,7 +21,7 @@
         self.target_names.insert(name, key);
     }
 
-    /// Forgets a target and every reservation on it alone.
+    /// Removes a target and its part of all reservations; a reservation with no other target ends.
     pub fn remove_target(&mut self, now: Instant, name: &HostName) {
         let Some(key) = self.target_names.remove(name) else {
             return;
@@ -36,13 +36,13 @@
         self.target_names.keys()
     }
 
-    /// Memory that the ledger holds on a target, in tokens.
+    /// Memory reserved on a target, in tokens; `None` for an unknown target.
     pub fn reserved_tokens(&self, name: &HostName) -> Option<u64> {
         let key = self.target_names.get(name)?;
         Some(self.targets[*key].reserved)
     }
 
-    /// Stops or resumes giving new work to a target; what runs there goes on.
+    /// Stops or resumes new reservations on a target; running requests continue.
     pub fn set_leaving(&mut self, name: &HostName, leaving: bool) {
         let Some(key) = self.target_names.get(name).copied() else {
             return;
@@ -53,7 +53,10 @@
         }
     }
 
-    /// Notes the incarnation of a target; a new one has lost all streams of the one before.
+    /// Records the incarnation of a target.
+    ///
+    /// A restarted target has lost all streams and its prefix cache, so its reservations are
+    /// released.
     pub fn on_incarnation(&mut self, now: Instant, name: &HostName, incarnation: Incarnation) {
         let Some(key) = self.target_names.get(name).copied() else {
             return;
@@ -69,14 +72,14 @@
         }
     }
 
-    /// Notes a target that does not answer.
+    /// Records that a target does not answer.
     pub fn on_target_unreachable(&mut self, now: Instant, name: &HostName) {
         if let Some(key) = self.target_names.get(name) {
             self.targets[*key].breaker.on_failure(now);
         }
     }
 
-    /// Takes an event of a target's prefix cache; true where the target must be listed anew.
+    /// Applies an event of a target's prefix cache; true if a full listing is needed.
     pub fn on_cache_event(&mut self, name: &HostName, event: CacheEvent) -> bool {
         let Some(key) = self.target_names.get(name) else {
             return false;
@@ -86,7 +89,7 @@
         index.is_stale()
     }
 
-    /// Takes a full listing of a target's prefix cache.
+    /// Replaces the index of a target's prefix cache by a full listing, valid up to `sequence`.
     pub fn on_cache_listing(
         &mut self,
         name: &HostName,
@@ -108,7 +111,8 @@
         }
     }
 
-    /// Rate of a usual target: the best learned one, or the configured one.
+    /// Highest learned prefill rate of all targets, in tokens per second; the configured initial
+    /// rate in an empty pool.
     pub(super) fn reference_rate(&self) -> f64 {
         self.targets
             .values()
