--- a/crates/azuresaddle-sched/src/action.rs
+++ b/crates/azuresaddle-sched/src/action.rs
@@ -1,4 +1,4 @@
-//! What a pool decided.
+//! Decisions of a pool: grants and refusals.
 
 use std::time::Duration;
 
@@ -11,11 +11,11 @@
 pub enum Action {
     /// The request may be sent now.
     Reserved(Grant),
-    /// The request has its final answer.
+    /// The request is refused; no other action follows for this attempt.
     Refused {
         /// The attempt.
         stream: StreamId,
-        /// Why, and when to come back.
+        /// The reason and when to retry.
         refusal: Refusal,
     },
 }
@@ -26,20 +26,20 @@
 pub struct Grant {
     /// The attempt.
     pub stream: StreamId,
-    /// The targets; the first leads, the others lend memory.
+    /// The targets; the first one runs the request, the others lend memory to it.
     pub targets: Vec<HostName>,
     /// Memory reserved on each target, in tokens.
     pub memory_tokens: u64,
 }
 
-/// A refusal; the request did not run.
+/// A refusal of a request that did not run.
 #[derive(Clone, Debug, PartialEq, Eq, Error, Serialize, Deserialize)]
 #[error("{reason}")]
 #[serde(rename_all = "kebab-case")]
 pub struct Refusal {
-    /// Why.
+    /// The reason.
     pub reason: RefusalReason,
-    /// When to come back; `None` where the request can never be served.
+    /// Delay before a retry; `None` if the request can never be served.
     pub retry_after: Option<Duration>,
 }
 
@@ -47,7 +47,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RefusalReason {
-    /// The expected wait does not leave time to answer.
+    /// The expected wait leaves too little time to answer before the deadline.
     #[error("the deadline can't be met")]
     DeadlineUnreachable,
     /// The prompt does not fit in the memory of the pool.
@@ -59,10 +59,10 @@
     /// The client account has too many requests in flight.
     #[error("the client account has reached its limit of requests in flight")]
     InFlightLimit,
-    /// The client account sends more prompt tokens than its limit.
+    /// The client account exceeds its limit of prompt tokens per second.
     #[error("the client account has reached its limit of prompt tokens a second")]
     TokenRateLimit,
-    /// Too many of the pool's requests are retries.
+    /// The retry budget of the pool is used up.
     #[error("the retry budget is spent")]
     RetryBudget,
     /// The queue is full.
--- a/crates/azuresaddle-sched/src/breaker.rs
+++ b/crates/azuresaddle-sched/src/breaker.rs
@@ -1,28 +1,28 @@
-//! Circuit breaker of a target, with slow return.
+//! Circuit breaker of a target, with gradual recovery.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Failures in a row that open the breaker.
+/// Consecutive failures that open the breaker.
 const FAILURES_TO_OPEN: u32 = 2;
 
-/// First pause after the breaker opens.
+/// How long the breaker stays open the first time.
 const INITIAL_OPEN_TIME: Duration = Duration::from_secs(1);
 
-/// Longest pause.
+/// Longest time that the breaker stays open.
 const MAX_OPEN_TIME: Duration = Duration::from_secs(30);
 
-/// Reservations allowed at a time at which the breaker counts as closed.
+/// Concurrent reservations from which on the breaker counts as closed.
 const FULL_RECOVERY: u32 = 16;
 
-/// Keeps work from a failing target and lets it return step by step.
+/// Stops sending work to a failing target, then readmits it in growing steps.
 #[derive(Clone, Debug)]
 pub struct Breaker {
     failures: u32,
     open_time: Duration,
     open_until: Option<Instant>,
-    /// Reservations allowed at a time during the return; `None` when closed.
+    /// Concurrent reservations allowed during recovery; `None` when closed.
     max_concurrent: Option<u32>,
 }
 
@@ -38,7 +38,7 @@
 }
 
 impl Breaker {
-    /// Whether one more reservation is allowed beside those that run.
+    /// Whether one more reservation is allowed in addition to the `running` ones.
     pub fn allows(&self, now: Instant, running: usize) -> bool {
         if self.open_until.is_some_and(|until| now < until) {
             return false;
@@ -47,12 +47,12 @@
             .is_none_or(|max_concurrent| running < max_concurrent as usize)
     }
 
-    /// When the breaker lets a request through again, while it is open.
+    /// When the breaker next lets a request through; `None` unless it is open.
     pub fn open_until(&self, now: Instant) -> Option<Instant> {
         self.open_until.filter(|until| *until > now)
     }
 
-    /// Notes a request that the target served.
+    /// Records a request that the target served.
     pub fn on_success(&mut self) {
         self.failures = 0;
         let Some(max_concurrent) = self.max_concurrent else {
@@ -66,10 +66,10 @@
         }
     }
 
-    /// Notes a request that the target rejected with a back-off for its sender.
+    /// Records a request that the target rejected, asking the sender to back off for `time`.
     ///
-    /// Several such rejections open the breaker, but never for longer than the back-off, and without making the next
-    /// pause longer.
+    /// Consecutive rejections open the breaker, but for no longer than the requested back-off and without lengthening
+    /// the next open time.
     pub fn on_back_off(&mut self, now: Instant, time: Duration) {
         self.failures += 1;
         if self.failures < FAILURES_TO_OPEN || self.open_until(now).is_some() {
@@ -79,7 +79,7 @@
         self.max_concurrent.get_or_insert(1);
     }
 
-    /// Notes a request that the target failed.
+    /// Records a request that failed on the target.
     pub fn on_failure(&mut self, now: Instant) {
         self.failures += 1;
         let recovering = self.max_concurrent.is_some();
--- a/crates/azuresaddle-sched/src/class.rs
+++ b/crates/azuresaddle-sched/src/class.rs
@@ -1,14 +1,14 @@
-//! Classes by length.
+//! Request classes by prefill length.
 
 use serde::{Deserialize, Serialize};
 
-/// Class of a request by its expected prefill.
+/// Class of a request by the length of its expected prefill.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Class {
-    /// A prefill short enough not to delay others by much.
+    /// A prefill short enough to delay other requests only slightly.
     Short,
-    /// A prefill that others would have to wait for.
+    /// A prefill that would make other requests on its target wait.
     Long,
 }
 
@@ -16,7 +16,7 @@
     /// Both classes, short first.
     pub const ALL: [Self; 2] = [Self::Short, Self::Long];
 
-    /// Index in arrays by class.
+    /// Index into arrays that hold one element per class.
     pub fn index(self) -> usize {
         self as usize
     }
--- a/crates/azuresaddle-sched/src/demand.rs
+++ b/crates/azuresaddle-sched/src/demand.rs
@@ -1,4 +1,4 @@
-//! Load by class and the number of targets that may run long prefills.
+//! Offered load by class, and the number of targets that may run long prefills.
 
 use std::time::Duration;
 
@@ -6,20 +6,20 @@
 
 use crate::class::Class;
 
-/// Span over which the load of each class is averaged, short first; long prompts are rare, so
-/// theirs is longer.
+/// Time constant of the load average by class, short first; long prompts are rare, so theirs is
+/// longer.
 const WINDOWS: [Duration; 2] = [Duration::from_secs(60), Duration::from_secs(300)];
 
 /// Targets kept for short prompts beyond their mean load, in standard deviations of that load.
 const STAFFING_MARGIN: f64 = 0.6;
 
-/// Part of the targets that may run long prefills before any load is known.
+/// Fraction of the targets that may run long prefills before any load has been measured.
 const INITIAL_LONG_SHARE: f64 = 0.8;
 
-/// Load of long prefills above which they get one more target.
+/// Utilization by long prefills above which they get one more target.
 const MAX_LONG_UTILIZATION: f64 = 0.97;
 
-/// Offered prefill work by class, in busy targets.
+/// Offered prefill load by class, in number of busy targets.
 #[derive(Debug)]
 pub(crate) struct Demand {
     started: Instant,
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Notes an arrival of that much prefill work.
+    /// Records the arrival of a request with `work` of expected prefill time.
     pub(crate) fn on_arrival(&mut self, now: Instant, class: Class, work: Duration) {
         let elapsed = now.saturating_duration_since(self.updated).as_secs_f64();
         self.updated = now;
@@ -47,7 +47,7 @@
         self.busy_targets[class.index()] += work.as_secs_f64() / window;
     }
 
-    /// Mean load of a class, corrected for the time since the start.
+    /// Mean load of a class, corrected for a window that is not yet full after the start.
     fn load(&self, class: Class) -> f64 {
         let window = WINDOWS[class.index()].as_secs_f64();
         let age = (self.updated - self.started).as_secs_f64();
@@ -55,10 +55,10 @@
         self.busy_targets[class.index()] / seen.max(0.1)
     }
 
-    /// Most of `targets` that may run long prefills at a time.
+    /// Maximum number of `targets` that may run long prefills concurrently.
     ///
-    /// The rest is kept for short prompts by square-root staffing: their mean load and a margin
-    /// that grows with its root.
+    /// The rest is reserved for short prompts by square-root staffing: their mean load plus a
+    /// margin proportional to its square root.
     pub(crate) fn max_long_targets(&self, targets: usize) -> usize {
         if targets <= 1 {
             return targets;
--- a/crates/azuresaddle-sched/src/drain.rs
+++ b/crates/azuresaddle-sched/src/drain.rs
@@ -1,4 +1,4 @@
-//! Targets that are being emptied for a request that does not fit yet.
+//! Targets drained for a request that does not fit yet.
 
 use slotmap::new_key_type;
 use tokio::time::Instant;
@@ -11,11 +11,12 @@
     pub(crate) struct DrainKey;
 }
 
-/// Targets emptied for one waiting request; others may use them only for what ends before.
+/// Targets drained for one waiting request; other requests may use them only if they are expected
+/// to end before [`Drain::ready_at`].
 #[derive(Clone, Debug)]
 pub(crate) struct Drain {
     pub(crate) wait: WaitKey,
     pub(crate) targets: Vec<TargetKey>,
-    /// When the targets are expected to have room.
+    /// When all the targets are expected to have enough free memory.
     pub(crate) ready_at: Instant,
 }
--- a/crates/azuresaddle-sched/src/fair_clock.rs
+++ b/crates/azuresaddle-sched/src/fair_clock.rs
@@ -5,19 +5,19 @@
 
 use azuresaddle_core::prelude::*;
 
-/// Start-time fair queueing: tells how far an account is ahead of its share.
+/// Virtual clock of start-time fair queueing; tracks how far each account is ahead of its share.
 ///
-/// An account that stays within its share is never ahead, so its requests keep the order by slack.
+/// An account that stays within its share is never ahead, so its requests stay ordered by slack.
 #[derive(Debug, Default)]
 pub(crate) struct FairClock {
     now: f64,
     finish: HashMap<ClientAccount, f64>,
 }
 
-/// Position of one request in virtual time.
+/// Start tag of one request in virtual time.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FairTag {
-    /// When its turn comes, in virtual time.
+    /// Virtual start time.
     pub(crate) start: f64,
     /// How far the account is ahead of its share.
     pub(crate) ahead: Duration,
@@ -35,18 +35,18 @@
         }
     }
 
-    /// When the turn of an account's next request would come, in virtual time.
+    /// Virtual start time that the account's next request would get.
     pub(crate) fn next_turn(&self, account: &ClientAccount) -> f64 {
         let finish = self.finish.get(account).copied().unwrap_or(0.0);
         finish.max(self.now)
     }
 
-    /// Notes that a request was given its turn.
+    /// Advances virtual time to the start of a dispatched request.
     pub(crate) fn on_dispatch(&mut self, tag: FairTag) {
         self.now = self.now.max(tag.start);
     }
 
-    /// Forgets all debts: nobody waits, so nobody was at a disadvantage.
+    /// Resets all accounts when the queue is empty: nobody waits, so nobody is at a disadvantage.
     pub(crate) fn on_idle(&mut self) {
         self.finish.clear();
     }
--- a/crates/azuresaddle-sched/src/fallback.rs
+++ b/crates/azuresaddle-sched/src/fallback.rs
@@ -1,4 +1,4 @@
-//! Placement without an owner.
+//! Placement of requests by a node while the pool has no owner.
 
 use std::collections::HashMap;
 
@@ -8,10 +8,10 @@
 use crate::action::{Grant, Refusal, RefusalReason};
 use std::time::Duration;
 
-/// When to come back for a prompt that needs an owner.
+/// Retry delay for a prompt that only an owner can place.
 const RETRY_AFTER: Duration = Duration::from_secs(5);
 
-/// A target as a node without an owner sees it.
+/// A target as known to a node while the pool has no owner.
 #[derive(Clone, Debug)]
 pub struct FallbackTarget {
     /// Name of the target's host.
@@ -20,10 +20,10 @@
     pub memory_tokens: u64,
 }
 
-/// Places requests by power of two choices inside this node's share of each target's memory.
+/// Places requests by power of two choices within this node's share of each target's memory.
 ///
-/// Shares of all nodes add up to the memory, so nodes can't overfill a target together. What needs
-/// more than one share's worth is refused: it would need an owner.
+/// The shares of all nodes add up to the target's memory, so the nodes together can't overcommit
+/// it. A request that needs more than one share is refused, because only an owner could place it.
 #[derive(Debug, Default)]
 pub struct FallbackPlacer {
     held: HashMap<HostName, u64>,
@@ -34,7 +34,7 @@
     /// Reserves memory in this node's share, `1 / nodes` of each target.
     ///
     /// # Errors
-    /// Where neither of two random targets has room in the share.
+    /// Returns a refusal if no target has enough memory left in this node's share.
     pub fn place<R: Rng>(
         &mut self,
         rng: &mut R,
@@ -74,7 +74,7 @@
         Ok(grant)
     }
 
-    /// Gives back what a stream held; unknown streams are ignored.
+    /// Releases the memory held by a stream; unknown streams are ignored.
     pub fn release(&mut self, stream: StreamId) {
         let Some(grant) = self.streams.remove(&stream) else {
             return;
--- a/crates/azuresaddle-sched/src/lib.rs
+++ b/crates/azuresaddle-sched/src/lib.rs
@@ -1,7 +1,8 @@
-//! Decisions of a pool, without input or output.
+//! Scheduling decisions of a pool, without I/O.
 //!
-//! Events and the present time go in, [`Action`]s come out. The same code runs in the daemon, in
-//! tests on a paused clock and in the experiment tool, so what is measured is what runs.
+//! The caller passes in events and the current time and carries out the returned [`Action`]s. The
+//! daemon, the tests (on a paused clock) and the experiment tool run the same code, so measurements
+//! apply to production.
 
 mod action;
 mod breaker;
--- a/crates/azuresaddle-sched/src/limits.rs
+++ b/crates/azuresaddle-sched/src/limits.rs
@@ -9,10 +9,10 @@
 
 use crate::action::{Refusal, RefusalReason};
 
-/// Span over which a token rate is averaged, in seconds.
+/// Window over which the token rate is limited, in seconds.
 const RATE_WINDOW_SECONDS: f64 = 10.0;
 
-/// When to come back after the limit of requests in flight was reached.
+/// Retry delay after the limit of requests in flight was reached.
 const IN_FLIGHT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Usage of each client account in a pool.
@@ -24,13 +24,13 @@
 #[derive(Debug)]
 struct Usage {
     in_flight: u32,
-    /// Prompt tokens above the limit's rate, leaking at that rate.
+    /// Leaky-bucket level: admitted prompt tokens, drained at the limit's rate.
     level: f64,
     updated: Instant,
 }
 
 impl AccountUsage {
-    /// Counts a request, or refuses it where a limit is reached.
+    /// Counts a request, or refuses it if a limit is reached.
     pub(crate) fn admit(
         &mut self,
         now: Instant,
@@ -59,14 +59,14 @@
         Ok(())
     }
 
-    /// Counts a request that was admitted by an earlier owner.
+    /// Counts a request that a previous owner admitted, without checking limits.
     pub(crate) fn adopt(&mut self, now: Instant, account: &ClientAccount) {
         let unlimited = AccountLimits::default();
         let admitted = self.admit(now, account, 0, &unlimited);
         debug_assert!(admitted.is_ok(), "no limit applies");
     }
 
-    /// Notes the end of a request.
+    /// Records the end of a request.
     pub(crate) fn release(&mut self, account: &ClientAccount) {
         if let Some(usage) = self.accounts.get_mut(account) {
             usage.in_flight = usage.in_flight.saturating_sub(1);
@@ -80,7 +80,8 @@
         self.level = (self.level - elapsed * rate).max(0.0);
         self.updated = now;
         let room = rate * RATE_WINDOW_SECONDS;
-        // A prompt above the whole window passes when the level is zero, so that it is not shut out.
+        // A prompt larger than the whole window passes at level zero; otherwise it could never
+        // pass.
         if self.level > 0.0 && self.level + tokens as f64 > room {
             let excess = (self.level + tokens as f64 - room).min(self.level);
             return Err(Refusal {
--- a/crates/azuresaddle-sched/src/options.rs
+++ b/crates/azuresaddle-sched/src/options.rs
@@ -2,30 +2,30 @@
 
 use std::time::Duration;
 
-/// What a pool does and with which constants; each idea can be switched off to measure it.
+/// Tuning constants and features of a pool; each feature can be switched off to measure its effect.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PoolOptions {
-    /// Longest prefill of the short class, in uncached prompt tokens.
+    /// Maximum prefill of the short class, in uncached prompt tokens.
     pub short_max_tokens: u64,
-    /// Prefill rate assumed of a target until it is learned, in tokens a second.
+    /// Prefill rate assumed for a target until it has been measured, in tokens per second.
     pub initial_prefill_rate: f64,
-    /// Time of one decode step assumed until it is learned.
+    /// Duration of a decode step assumed until it has been measured.
     pub initial_decode_step: Duration,
-    /// Most waiting requests.
+    /// Maximum number of waiting requests.
     pub max_waiting: usize,
-    /// How long before a prefill's expected end the next short one is sent to the same target.
+    /// How long before a prefill's expected end the next short request may be sent to that target.
     pub prefill_lead_time: Duration,
-    /// Separate queues by class and a bound on targets that run long prefills.
+    /// Queue short and long requests separately and limit the targets that run long prefills.
     pub separate_classes: bool,
-    /// Order by least slack; first come, first served otherwise.
+    /// Order by least slack instead of first come, first served.
     pub order_by_slack: bool,
-    /// Let requests pass one that does not fit yet, and drain targets for that one.
+    /// Let requests overtake one that does not fit yet, and drain targets for that one.
     pub backfill: bool,
     /// Prefer targets that hold the prompt's prefix.
     pub prefix_affinity: bool,
-    /// Share the pool among client accounts in contention.
+    /// Share the pool fairly among client accounts under contention.
     pub fair_accounts: bool,
-    /// Refuse what can't meet its deadline.
+    /// Refuse requests that can't meet their deadline.
     pub check_deadlines: bool,
     /// Avoid targets that are much slower than the others.
     pub avoid_slow: bool,
@@ -51,7 +51,8 @@
 }
 
 impl PoolOptions {
-    /// One queue in order of arrival, with late binding and an exact ledger only.
+    /// A single queue in order of arrival: only late binding to targets and the exact memory ledger
+    /// stay on.
     pub fn fifo() -> Self {
         Self {
             prefill_lead_time: Duration::ZERO,
--- a/crates/azuresaddle-sched/src/outcome.rs
+++ b/crates/azuresaddle-sched/src/outcome.rs
@@ -1,4 +1,4 @@
-//! How a reservation ended.
+//! Outcomes of reservations.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,15 +6,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// The answer is whole.
+    /// The answer is complete.
     Done {
-        /// Tokens of the answer.
+        /// Length of the answer, in tokens.
         tokens: u32,
     },
-    /// The caller or the node gave up, and the target confirmed that the stream is gone.
+    /// The caller or the node cancelled the request, and the target confirmed that the stream is
+    /// gone.
     Cancelled,
     /// The target refused the request before it started.
     TargetRefused,
-    /// The target broke off, and it is confirmed that the stream is gone.
+    /// The target failed during the request, and the stream is confirmed to be gone.
     TargetFailed,
 }
--- a/crates/azuresaddle-sched/src/pool_digest.rs
+++ b/crates/azuresaddle-sched/src/pool_digest.rs
@@ -1,4 +1,4 @@
-//! Summary of a pool for the choice among pools.
+//! Summaries of pools, and the choice among pools based on them.
 
 use std::time::Duration;
 
@@ -6,36 +6,37 @@
 use azuresaddle_core::rules::PoolChoice;
 use serde::{Deserialize, Serialize};
 
-/// Cost of leaving the own failure domain, as a wait.
+/// Cost of using a pool in another failure domain, expressed as waiting time.
 const OTHER_DOMAIN_WAIT: Duration = Duration::from_millis(20);
 
-/// Wait added for each second of a digest's age: the older it is, the less a short queue in it is
-/// worth.
+/// Seconds of wait added per second of a digest's age, as an old digest says less about the queue.
 const WAIT_PER_SECOND_OF_AGE: f64 = 0.02;
 
-/// What an owner tells other nodes of its pool.
+/// Summary of a pool that its owner sends to other nodes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct PoolDigest {
     /// The pool.
     pub pool: PoolId,
-    /// Targets that take work.
+    /// Number of targets that accept new work.
     pub usable_targets: u32,
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub waiting: u32,
-    /// Reservations that run.
+    /// Number of active reservations.
     pub running: u32,
     /// Expected wait of a short prompt.
     pub short_wait: Duration,
     /// Expected wait of a long prompt.
     pub long_wait: Duration,
-    /// Most memory that a single request can get over all usable targets, in tokens.
+    /// Total memory of all usable targets, the most that a single request can get, in tokens.
     pub memory_tokens: u64,
-    /// Longest prefill of the short class, in tokens.
+    /// Maximum prefill of the short class, in tokens.
     pub short_max_tokens: u64,
 }
 
-/// Picks the pool for a prompt; each digest comes with its age.
+/// Picks the pool with the shortest expected wait for a request of `memory_tokens`.
+///
+/// Each digest comes with its age. Returns `None` if no pool has usable targets and enough memory.
 pub fn choose_pool<'a>(
     digests: impl IntoIterator<Item = (&'a PoolDigest, Duration)>,
     domain: &FailureDomain,
--- a/crates/azuresaddle-sched/src/prefix_index.rs
+++ b/crates/azuresaddle-sched/src/prefix_index.rs
@@ -1,17 +1,17 @@
-//! What a target's prefix cache holds, from late events with gaps.
+//! Index of a target's prefix cache, built from events that may arrive late or get lost.
 
 use std::collections::{HashMap, VecDeque};
 
 use serde::{Deserialize, Serialize};
 
-/// Most blocks remembered for one target; 1024 tokens each.
+/// Maximum number of blocks indexed per target; each has 1024 tokens.
 const MAX_BLOCKS: usize = 4096;
 
 /// A change of a target's prefix cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct CacheEvent {
-    /// Number of the event; consecutive unless events were lost.
+    /// Sequence number; consecutive unless events were lost.
     pub sequence: u64,
     /// Chained hash of the block.
     pub block: u64,
@@ -29,10 +29,10 @@
     Evicted,
 }
 
-/// Bounded view of one target's prefix cache.
+/// Bounded index of the blocks in one target's prefix cache.
 ///
-/// A gap in the events empties the view until the target is listed anew: a wrong hit costs a
-/// prefill that nobody planned for, a missed one only a chance.
+/// A gap in the events clears the index until the next full listing: a false hit costs an unplanned
+/// prefill, a missed hit only the saving.
 #[derive(Debug, Default)]
 pub struct PrefixIndex {
     blocks: HashMap<u64, u64>,
@@ -43,12 +43,12 @@
 }
 
 impl PrefixIndex {
-    /// Whether the target has to be listed anew.
+    /// Whether a full listing of the cache is needed.
     pub fn is_stale(&self) -> bool {
         self.stale
     }
 
-    /// Takes a full listing, valid up to and including `sequence`.
+    /// Replaces the index by a full listing, valid up to and including `sequence`.
     pub fn replace(&mut self, sequence: u64, blocks: impl IntoIterator<Item = u64>) {
         self.clear();
         self.stale = false;
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Takes the next event; old ones are ignored, a gap makes the view stale.
+    /// Applies an event; old events are ignored, a gap makes the index stale.
     pub fn apply(&mut self, event: CacheEvent) {
         if self.stale {
             return;
@@ -81,9 +81,10 @@
         }
     }
 
-    /// Leading blocks of a prompt that the target holds.
+    /// Number of leading blocks of a prompt that the target has cached.
     pub fn cached_blocks(&self, prefix: &[u64]) -> usize {
-        // Hashes are chained, so a later hit implies the earlier ones; the longest is wanted.
+        // Hashes are chained, so a hit implies all earlier blocks; search from the end for the
+        // longest match.
         prefix
             .iter()
             .rposition(|block| self.blocks.contains_key(block))
--- a/crates/azuresaddle-sched/src/queue.rs
+++ b/crates/azuresaddle-sched/src/queue.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for a reservation.
+//! Queue of requests that wait for a reservation.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
@@ -21,18 +21,18 @@
 pub(crate) struct Waiting {
     pub(crate) request: ReservationRequest,
     pub(crate) class: Class,
-    /// Expected prefill on a usual target with nothing cached.
+    /// Expected prefill time at the reference rate, using the best cached prefix at arrival.
     pub(crate) prefill: Duration,
-    /// Latest time to start if the deadline is to be met.
+    /// Latest start that still meets the deadline.
     pub(crate) start_by: Instant,
     pub(crate) tag: FairTag,
     rank: Rank,
 }
 
-/// Order in a class: the time by which the request should start, then arrival.
+/// Order in a class: due time, then arrival.
 type Rank = (Instant, u64);
 
-/// All waiting requests, by class, by attempt and by latest start.
+/// All waiting requests, indexed by class, attempt and latest start.
 #[derive(Debug, Default)]
 pub(crate) struct Queue {
     waiting: SlotMap<WaitKey, Waiting>,
@@ -43,13 +43,14 @@
     arrivals: u64,
 }
 
-/// What the queue needs to know of a new request.
+/// A request to be added to the queue.
 pub(crate) struct QueueEntry {
     pub(crate) request: ReservationRequest,
     pub(crate) class: Class,
     pub(crate) prefill: Duration,
     pub(crate) start_by: Instant,
     pub(crate) tag: FairTag,
+    /// Time by which the request should start; determines its place in the queue.
     pub(crate) due: Instant,
 }
 
@@ -99,23 +100,23 @@
         self.by_stream.get(&stream).copied()
     }
 
-    /// Waiting requests of a class in their order.
+    /// Waiting requests of a class, in queue order.
     pub(crate) fn in_order(&self, class: Class) -> impl Iterator<Item = WaitKey> {
         self.by_class[class.index()].values().copied()
     }
 
-    /// The first request whose latest start has passed.
+    /// The request with the earliest latest start, if that has passed.
     pub(crate) fn first_overdue(&self, now: Instant) -> Option<WaitKey> {
         let (start_by, key) = self.by_start.first()?;
         (*start_by < now).then_some(*key)
     }
 
-    /// The earliest latest start.
+    /// The earliest `start_by` of all waiting requests.
     pub(crate) fn next_start_by(&self) -> Option<Instant> {
         self.by_start.first().map(|(start_by, _)| *start_by)
     }
 
-    /// Prefill work of a class that waits.
+    /// Total expected prefill time of the waiting requests of a class.
     pub(crate) fn backlog(&self, class: Class) -> Duration {
         self.backlog[class.index()]
     }
--- a/crates/azuresaddle-sched/src/rate.rs
+++ b/crates/azuresaddle-sched/src/rate.rs
@@ -1,14 +1,14 @@
-//! Rates learned online.
+//! Prefill rates and answer times learned from completed work.
 
 use std::time::Duration;
 
-/// Weight of a new observation.
+/// Weight of a new observation in the moving average of the prefill rate.
 const GAIN: f64 = 0.2;
 
-/// Shortest prefill that is learned from, in tokens; shorter ones measure the network.
+/// Shortest prefill that is learned from, in tokens; shorter ones mostly measure network latency.
 const MIN_OBSERVED_TOKENS: f64 = 256.0;
 
-/// Exponentially weighted mean of a target's prefill rate.
+/// Exponentially weighted moving average of a target's prefill rate.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PrefillRate {
     tokens_per_second: f64,
@@ -23,7 +23,7 @@
         self.tokens_per_second
     }
 
-    /// Expected time of a prefill.
+    /// Expected duration of a prefill.
     pub(crate) fn time_for(self, tokens: f64) -> Duration {
         Duration::from_secs_f64(tokens / self.tokens_per_second)
     }
@@ -33,13 +33,13 @@
             return;
         }
         let seconds_per_token = took.as_secs_f64() / tokens;
-        // The mean is over time per token, so that one slow prefill shows at once.
+        // Averaging time per token instead of the rate makes a single slow prefill show at once.
         let mean = (1.0 - GAIN) / self.tokens_per_second + GAIN * seconds_per_token;
         self.tokens_per_second = 1.0 / mean;
     }
 }
 
-/// Mean length of answers and mean time of a token, learned from whole answers.
+/// Mean answer length and mean time per token, learned from complete answers.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AnswerTimes {
     mean_tokens: f64,
@@ -48,16 +48,17 @@
 }
 
 impl AnswerTimes {
-    /// Weight of a new observation; many requests share one mean, so it moves slowly.
+    /// Weight of a new observation; low, because many requests contribute to one mean.
     const GAIN: f64 = 0.02;
 
-    /// Mean answer assumed until it is learned, in tokens.
+    /// Mean answer length assumed before any answer, in tokens.
     const INITIAL_TOKENS: f64 = 418.0;
 
-    /// Answers after which the means are trusted for refusals.
+    /// Number of answers after which requests may be refused based on the means.
     const TRUSTED_AFTER: u32 = 20;
 
-    /// Time kept for an answer, in mean answers; of geometric lengths one in fifty is longer.
+    /// Time reserved for an answer, as a multiple of the mean length; with geometrically
+    /// distributed lengths, one answer in fifty is longer.
     const MARGIN: f64 = 4.0;
 
     pub(crate) fn new(initial_step: Duration) -> Self {
@@ -68,13 +69,13 @@
         }
     }
 
-    /// Time from the first token to the end of a usual answer.
+    /// Mean time from the first token to the end of the answer.
     pub(crate) fn mean_time(self) -> Duration {
         Duration::from_secs_f64(self.mean_tokens * self.step_seconds)
     }
 
-    /// Time that a request needs before its deadline for its answer; none while little is known,
-    /// since a wrong guess would refuse what could be served.
+    /// Time to reserve for the answer before the deadline; zero while too few answers have been
+    /// seen, since a wrong estimate would refuse requests that could be served.
     pub(crate) fn answer_time_allowance(self, max_tokens: u64) -> Duration {
         if self.observed < Self::TRUSTED_AFTER {
             return Duration::ZERO;
--- a/crates/azuresaddle-sched/src/rate_bucket.rs
+++ b/crates/azuresaddle-sched/src/rate_bucket.rs
@@ -1,22 +1,23 @@
-//! Token bucket of a target that limits its rate.
+//! Token bucket for a target with a request rate limit.
 
 use std::time::Duration;
 
 use azuresaddle_core::deployment::RateLimit;
 use tokio::time::Instant;
 
-/// Lowest rate, in requests per second: a target with a limit of 0 is probed, since only an answer can lift the limit.
+/// Lowest rate, in requests per second: a target with a limit of 0 is still probed, since only an answer can raise the
+/// limit.
 const MIN_RATE: f64 = 0.1;
 
-/// Time for which tokens accumulate. Bursts after idle time must stay within the limit.
+/// Time for which tokens accumulate; short, so that a burst after idle time stays within the limit.
 const BURST_TIME: Duration = Duration::from_millis(500);
 
 /// Largest burst, in requests.
 const MAX_BURST: f64 = 3.0;
 
-/// Counts the requests that one node may let through to a target, for all nodes together.
+/// Rate limiter that one node, the owner, runs for a target on behalf of all nodes.
 ///
-/// It starts empty: a new owner does not know what its predecessor has just let through.
+/// It starts empty because a new owner does not know what the previous owner has just let through.
 #[derive(Clone, Copy, Debug)]
 pub struct RateBucket {
     limit: RateLimit,
@@ -46,19 +47,19 @@
         self.tokens = self.tokens.min(self.burst());
     }
 
-    /// Lets nothing through until it is resumed.
+    /// Blocks all requests until [`Self::resume`].
     pub fn suspend(&mut self) {
         self.is_suspended = true;
     }
 
-    /// Lets requests through again, starting empty.
+    /// Allows requests again, starting with an empty bucket.
     pub fn resume(&mut self, now: Instant) {
         if self.is_suspended {
             *self = Self::new(now, self.limit);
         }
     }
 
-    /// Requests a second that it lets through.
+    /// Allowed rate, in requests per second.
     pub fn rate(&self) -> f64 {
         self.limit.requests_per_second().max(MIN_RATE)
     }
@@ -68,7 +69,7 @@
         !self.is_suspended && self.tokens_at(now) >= 1.0
     }
 
-    /// Lets a request pass; false where none may.
+    /// Takes a token for a request; false if none is available.
     pub fn take(&mut self, now: Instant) -> bool {
         self.fill(now);
         let has_token = self.has_token(now);
--- a/crates/azuresaddle-sched/src/reservation.rs
+++ b/crates/azuresaddle-sched/src/reservation.rs
@@ -1,4 +1,4 @@
-//! A reservation in the ledger.
+//! Reservations in the memory ledger.
 
 use azuresaddle_core::prelude::*;
 use serde::{Deserialize, Serialize};
@@ -23,7 +23,7 @@
     pub(crate) targets: Vec<TargetKey>,
     /// Memory on each target, in tokens.
     pub(crate) memory_tokens: u64,
-    /// Prompt tokens that each target has to process.
+    /// Uncached prompt tokens that each target has to process.
     pub(crate) prefill_tokens: f64,
     pub(crate) sent_at: Instant,
     pub(crate) first_token_at: Option<Instant>,
@@ -31,18 +31,18 @@
     pub(crate) ends_at: Instant,
 }
 
-/// A stream that a target says it runs, as a new owner finds it.
+/// A running stream as listed by a target, from which a new owner rebuilds its ledger.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct LiveStream {
     /// The attempt.
     pub stream: StreamId,
-    /// The node that sent it.
+    /// The node that sent the request.
     pub node: HostName,
-    /// Who asked.
+    /// The client account of the request.
     pub account: ClientAccount,
     /// Memory held, in tokens.
     pub memory_tokens: u64,
-    /// Whether the first token is out.
+    /// Whether the first token has been sent.
     pub decoding: bool,
 }
--- a/crates/azuresaddle-sched/src/reservation_request.rs
+++ b/crates/azuresaddle-sched/src/reservation_request.rs
@@ -1,4 +1,4 @@
-//! A request as the pool sees it.
+//! A request for a reservation in a pool.
 
 use std::time::Duration;
 
@@ -6,37 +6,37 @@
 use azuresaddle_core::rules::AccountLimits;
 use tokio::time::Instant;
 
-/// Asks a pool for a reservation.
+/// A request for memory and a prefill slot in a pool.
 #[derive(Clone, Debug)]
 pub struct ReservationRequest {
     /// The attempt that will run.
     pub stream: StreamId,
     /// The node that will relay the answer.
     pub node: HostName,
-    /// Who asks.
+    /// The client account that sent the request.
     pub account: ClientAccount,
     /// Length of the prompt, in tokens.
     pub prompt_tokens: u64,
-    /// Most tokens of the answer.
+    /// Maximum length of the answer, in tokens.
     pub max_tokens: u64,
-    /// Chained hashes of the prompt's leading blocks.
+    /// Chained hashes of the prompt's leading blocks, for prefix cache lookups.
     pub prefix: Vec<u64>,
-    /// From -8 (last) to 8 (first).
+    /// Priority, from -8 (lowest) to 8 (highest).
     pub priority: i8,
-    /// When the first token is wanted after the arrival, beyond the prefill itself.
+    /// Target for the time from arrival to first token, not counting the prefill itself.
     pub first_token_target: Duration,
-    /// When the request must have ended.
+    /// Time by which the answer must be complete.
     pub deadline: Instant,
-    /// Share of the account in contention.
+    /// Weight of the account in fair queueing.
     pub weight: f64,
     /// Limits of the account.
     pub limits: AccountLimits,
-    /// Targets that must not be used, since an earlier attempt failed there.
+    /// Targets to avoid because an earlier attempt failed there.
     pub exclude: Vec<HostName>,
 }
 
 impl ReservationRequest {
-    /// Memory that the request may come to hold, in tokens.
+    /// Most memory that the request can use, in tokens: prompt and longest answer.
     pub fn memory_tokens(&self) -> u64 {
         self.prompt_tokens + self.max_tokens
     }
--- a/crates/azuresaddle-sched/src/target.rs
+++ b/crates/azuresaddle-sched/src/target.rs
@@ -1,4 +1,4 @@
-//! A target in a pool.
+//! State of a target in a pool.
 
 use std::time::Duration;
 
@@ -17,7 +17,7 @@
     pub(crate) struct TargetKey;
 }
 
-/// What a pool is told of a target.
+/// Configuration of a target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TargetSpec {
     /// Name of the target's host.
@@ -32,21 +32,21 @@
     pub(crate) spec: TargetSpec,
     /// Memory reserved by the ledger, in tokens.
     pub(crate) reserved: u64,
-    /// Reservations whose first token has not come, in the order they were sent.
+    /// Reservations without a first token yet, in the order they were sent.
     pub(crate) prefilling: Vec<ReservationKey>,
     /// All reservations.
     pub(crate) reservations: Vec<ReservationKey>,
-    /// When the present prefill is expected to end.
+    /// When the prefills sent so far are expected to end.
     pub(crate) prefill_ends_at: Instant,
-    /// When the last first token came.
+    /// When a stream on the target last sent its first token.
     pub(crate) last_prefill_ended_at: Instant,
     pub(crate) rate: PrefillRate,
     pub(crate) breaker: Breaker,
-    /// Takes no new reservations.
+    /// Whether the target is leaving and gets no new reservations.
     pub(crate) leaving: bool,
-    /// No new reservations until then, since the target refused one that should fit.
+    /// No new reservations before this time, since the target refused one that should have fitted.
     pub(crate) paused_until: Instant,
-    /// When a much slower target is tried again.
+    /// When the target is next tried if it is much slower than the others.
     pub(crate) probe_at: Instant,
     pub(crate) drain: Option<DrainKey>,
     pub(crate) incarnation: Incarnation,
@@ -73,19 +73,20 @@
         }
     }
 
-    /// Memory that is not reserved, in tokens.
+    /// Unreserved memory, in tokens.
     pub(crate) fn free(&self) -> u64 {
         self.spec.memory_tokens.saturating_sub(self.reserved)
     }
 
-    /// Whether new work may go to the target at all.
+    /// Whether the target may get new reservations at all, apart from memory and prefill slots.
     pub(crate) fn accepts_work(&self, now: Instant) -> bool {
         !self.leaving
             && now >= self.paused_until
             && self.breaker.allows(now, self.reservations.len())
     }
 
-    /// Whether the next prefill may be sent: none runs, or the only one is about to end.
+    /// Whether another prefill may be sent: none is running, or the only one is expected to end
+    /// within `prefill_lead_time`.
     pub(crate) fn has_prefill_slot(&self, now: Instant, prefill_lead_time: Duration) -> bool {
         match self.prefilling.len() {
             0 => true,
