--- a/crates/azuresaddle-sched/benches/decide.rs
+++ b/crates/azuresaddle-sched/benches/decide.rs
@@ -1,4 +1,5 @@
-//! Cost of one decision: a request arrives, one is reserved, one ends.
+//! Cost of a scheduling step: one request arrives, one running request ends and the pool
+//! dispatches.
 
 use std::time::Duration;
 
@@ -12,7 +13,7 @@
         stream: StreamId::first(RequestId(number)),
         node: HostName::new("n"),
         account: ClientAccount::new(["a", "b", "c", "d"][number as usize % 4]),
-        // One in fifty is long.
+        // One request in fifty is long.
         prompt_tokens: if number.is_multiple_of(50) {
             150_000
         } else {
@@ -29,7 +30,7 @@
     }
 }
 
-/// A pool whose targets are all busy, with requests that wait.
+/// Returns a pool whose targets are all busy and whose queue holds about `waiting` requests.
 fn full_pool(now: Instant, targets: usize, waiting: u128) -> (Pool, Vec<StreamId>, u128) {
     let mut pool = Pool::new(now, PoolOptions::default());
     for i in 0..targets {
--- a/crates/azuresaddle-sched/tests/suite/admission.rs
+++ b/crates/azuresaddle-sched/tests/suite/admission.rs
@@ -72,7 +72,7 @@
         now += Duration::from_secs(10);
         pool.on_end(now, stream(number), Outcome::Done { tokens: 100 });
     }
-    // A hundred tokens take ten seconds.
+    // An answer of 100 tokens takes ten seconds.
     let soon = now + Duration::from_secs(5);
     pool.enqueue(
         now,
@@ -168,7 +168,7 @@
     pool.on_first_token(later, stream(1));
     assert!(
         decided(&decide(&mut pool, later), 500).is_some(),
-        "second in turn"
+        "the other account is served second"
     );
 }
 
--- a/crates/azuresaddle-sched/tests/suite/breaker.rs
+++ b/crates/azuresaddle-sched/tests/suite/breaker.rs
@@ -1,4 +1,4 @@
-//! The breaker of a target.
+//! Circuit breaker of a target.
 
 use std::time::Duration;
 
@@ -49,7 +49,7 @@
     breaker.on_back_off(now, asked);
     assert!(
         breaker.allows(now, 0),
-        "one sender may be turned away alone"
+        "only this sender may have been rejected"
     );
     let mut at = now;
     for _ in 0..6 {
@@ -61,6 +61,6 @@
     breaker.on_back_off(at, Duration::from_secs(3600));
     assert!(
         breaker.allows(at + Duration::from_secs(1), 0),
-        "other senders may be welcome"
+        "requests from other senders may be accepted"
     );
 }
--- a/crates/azuresaddle-sched/tests/suite/conservation.rs
+++ b/crates/azuresaddle-sched/tests/suite/conservation.rs
@@ -1,4 +1,5 @@
-//! Whatever happens, the ledger never gives out more than there is and gets all of it back.
+//! Property test: the ledger never overcommits a target's memory, and all of it is released in the
+//! end.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -34,7 +35,7 @@
     ]
 }
 
-/// What each running attempt holds, by target, as a caller of the pool would count it.
+/// Targets and memory per target of each running attempt, as counted by a caller of the pool.
 type Held = BTreeMap<StreamId, (Vec<HostName>, u64)>;
 
 fn dispatch(pool: &mut Pool, now: Instant, held: &mut Held) {
@@ -100,7 +101,8 @@
                 prop_assert!(expected <= MEMORY);
             }
         }
-        // With everything ended and all targets back, nothing is held and nothing waits for ever.
+        // Once all streams have ended and all targets are available, nothing is reserved or
+        // waiting.
         for t in 0..TARGETS {
             pool.set_leaving(&engine(t), false);
         }
--- a/crates/azuresaddle-sched/tests/suite/evidence.rs
+++ b/crates/azuresaddle-sched/tests/suite/evidence.rs
@@ -1,4 +1,4 @@
-//! What speaks for a request that was on targets which ended, and how much it takes to stop one.
+//! Evidence for and against requests that were on crashed targets, and how much of it leads to quarantine.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 
 use crate::quarantine::{MINUTE, crash, request, successful_run, with_crashes};
 
-/// A sound request can be beside crashing ones on several targets in turn, while callers ask the same all the time.
+/// A harmless request that callers send all the time can share several targets with crashing requests in turn.
 #[tokio::test(start_paused = true)]
 async fn a_request_that_most_targets_survive_is_not_quarantined() {
     let now = Instant::now();
@@ -21,7 +21,7 @@
     }
 }
 
-/// Three targets end within half a second under requests that all callers ask; what spoke for them was seen before.
+/// Three targets crash within half a second under popular requests, whose successful runs were all before.
 #[tokio::test(start_paused = true)]
 async fn successful_runs_before_the_first_crash_count() {
     let now = Instant::now();
@@ -33,14 +33,14 @@
     let recalled = recent.take(later, request(1), |t| t == 0);
     assert_eq!(recalled.len(), 3, "of the last four, one was on the target");
     assert!(recent.take(later, request(1), |t| t == 0).is_empty());
-    // What has just ended may have ended its target too, and what is long ago says little.
+    // A run that has just completed may still crash its target, and a run long ago is weak evidence.
     recent.note(now, successful_run(2, 1), 5);
     assert!(recent.take(now, request(2), |_| false).is_empty());
     recent.note(now, successful_run(2, 1), 5);
     assert!(recent.take(now + MINUTE, request(2), |_| false).is_empty());
 }
 
-/// Its targets survive it now and then.
+/// Its targets survive it occasionally.
 #[tokio::test(start_paused = true)]
 async fn a_request_that_crashes_most_of_its_targets_is_quarantined() {
     let now = Instant::now();
@@ -56,7 +56,7 @@
     }
 }
 
-/// One that only some kind of targets does not survive is stopped too, however often the others serve it.
+/// A request that crashes only one kind of target is quarantined too, however often other targets serve it.
 #[tokio::test(start_paused = true)]
 async fn the_number_of_crashes_before_quarantine_is_bounded() {
     let now = Instant::now();
@@ -72,7 +72,7 @@
     }
 }
 
-/// A request that ends its targets shares all of them with a common one, while others end too.
+/// A request that crashes its targets shares all of them with a popular request, while other targets crash too.
 #[tokio::test(start_paused = true)]
 async fn a_request_that_no_target_survives_is_quarantined_despite_other_suspects() {
     let now = Instant::now();
@@ -86,7 +86,7 @@
     assert!(quarantine.status(now, request(1)).is_quarantined());
 }
 
-/// Callers ask the same all the time, on targets that others end one after the other; it is tried again soon.
+/// Callers send a request all the time to targets that other requests crash one after the other.
 #[tokio::test(start_paused = true)]
 async fn a_request_that_some_targets_survived_is_retried_soon() {
     let now = Instant::now();
@@ -95,13 +95,13 @@
     assert!(quarantine.status(now, request(1)).is_quarantined());
     let later = now + Duration::from_secs(6);
     assert_eq!(quarantine.status(later, request(1)), RequestStatus::Suspect);
-    // Another crash of the one that is tried.
+    // The retried copy crashes its target.
     quarantine.on_crash(later, crash(1, 9));
     let status = quarantine.status(later + Duration::from_secs(2), request(1));
     assert!(status.is_quarantined());
 }
 
-/// A good end that several nodes tell of counts once.
+/// Several nodes report the same successful run.
 #[tokio::test(start_paused = true)]
 async fn one_successful_run_counts_once() {
     let now = Instant::now();
@@ -113,8 +113,8 @@
     assert!(quarantine.status(now, request(1)).is_quarantined());
 }
 
-/// Targets end by themselves, a few at a time, and again; a stream that goes on elsewhere twice, and that its caller
-/// sends once more, can be on four of them.
+/// Targets crash on their own in repeated waves; a stream that resumes elsewhere twice and that its caller then retries
+/// once can be on four of them.
 #[tokio::test(start_paused = true)]
 async fn a_request_on_targets_that_crash_on_their_own_is_served() {
     let now = Instant::now();
@@ -130,7 +130,7 @@
     }
 }
 
-/// Each of three requests ends its targets at the same time as the others, and common streams are on all of them.
+/// Three requests crash their targets at the same time, and a popular request runs on all of these.
 #[tokio::test(start_paused = true)]
 async fn several_crashing_requests_are_quarantined_and_their_neighbours_are_not() {
     let now = Instant::now();
@@ -157,7 +157,7 @@
     assert!(quarantine.lift(request(1)));
     assert!(!quarantine.lift(request(1)));
     assert_eq!(quarantine.status(now, request(1)), RequestStatus::Clear);
-    // Told once more by a node that has not heard of it.
+    // Reported again by a node that does not know that the quarantine was lifted.
     assert_eq!(quarantine.on_crash(now, crash(1, 2)), CrashStatus::Known);
     for target in 3..6 {
         quarantine.on_crash(now, crash(1, target));
@@ -165,8 +165,8 @@
     assert!(quarantine.status(now, request(1)).is_quarantined());
 }
 
-/// One attempt of a request that ends its targets came to a whole answer just before its target was gone. For half a
-/// minute nothing counted against it then, and 35 targets ended.
+/// One attempt of a crashing request completed its answer just before its target crashed. For half a minute nothing
+/// counted against the request then, and 35 targets crashed.
 #[tokio::test(start_paused = true)]
 async fn one_successful_run_does_not_hide_a_crashing_request() {
     let now = Instant::now();
--- a/crates/azuresaddle-sched/tests/suite/fallback.rs
+++ b/crates/azuresaddle-sched/tests/suite/fallback.rs
@@ -1,4 +1,4 @@
-//! Placement without an owner.
+//! Placement of requests while the pool has no owner.
 
 use azuresaddle_core::prelude::*;
 use azuresaddle_sched::{FallbackPlacer, FallbackTarget};
--- a/crates/azuresaddle-sched/tests/suite/main.rs
+++ b/crates/azuresaddle-sched/tests/suite/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the decisions.
+//! Tests of the scheduling decisions.
 
 mod admission;
 mod breaker;
--- a/crates/azuresaddle-sched/tests/suite/pool.rs
+++ b/crates/azuresaddle-sched/tests/suite/pool.rs
@@ -1,4 +1,4 @@
-//! Reservations of one pool.
+//! Reservations in a single pool.
 
 use std::time::Duration;
 
@@ -44,7 +44,7 @@
         pool.enqueue(now, request(next, now, 8_000));
         next += 1;
     }
-    // Short prompts keep coming, more than the targets can take, and answer in two seconds.
+    // Short prompts keep arriving faster than the targets can serve them; each takes two seconds.
     for _ in 0..600 {
         let decisions = decide(&mut pool, now);
         if decided(&decisions, 1).is_some() {
--- a/crates/azuresaddle-sched/tests/suite/pool_choice.rs
+++ b/crates/azuresaddle-sched/tests/suite/pool_choice.rs
@@ -1,4 +1,4 @@
-//! The choice among pools.
+//! Choice among pools by their digests.
 
 use std::time::Duration;
 
--- a/crates/azuresaddle-sched/tests/suite/prefix_index.rs
+++ b/crates/azuresaddle-sched/tests/suite/prefix_index.rs
@@ -1,4 +1,4 @@
-//! The view of a target's prefix cache.
+//! Index of a target's prefix cache.
 
 use azuresaddle_sched::{CacheEvent, CacheEventKind, PrefixIndex};
 
--- a/crates/azuresaddle-sched/tests/suite/quarantine.rs
+++ b/crates/azuresaddle-sched/tests/suite/quarantine.rs
@@ -1,4 +1,4 @@
-//! Which requests are kept from all targets.
+//! Quarantine of requests that crash their targets.
 
 use std::time::Duration;
 
@@ -54,7 +54,7 @@
     assert_eq!(quarantine.quarantined(now).count(), 3);
 }
 
-/// Several nodes see the same end of a target, and each tells all others of it.
+/// Several nodes see the same crash, and each reports it to all others.
 #[tokio::test(start_paused = true)]
 async fn one_crash_of_a_target_counts_once() {
     let now = Instant::now();
@@ -65,7 +65,8 @@
     assert_eq!(quarantine.status(now, request(1)), RequestStatus::Suspect);
 }
 
-/// While the store is down the new start of a target under its name is not known; nodes send a request there again.
+/// While the store is down, the restart of a target under the same name is not known, and nodes send a request there
+/// again.
 #[tokio::test(start_paused = true)]
 async fn a_target_that_runs_a_request_after_its_crash_has_a_new_incarnation() {
     let now = Instant::now();
@@ -76,7 +77,7 @@
         let ended_at = sent_at + second;
         let crash = quarantine.observe_crash(ended_at, request(1), 7, sent_at);
         assert_eq!(crash.map(|c| u32::from(c.target.number)), Some(n));
-        // Another copy of the request was on the same target.
+        // Another copy of the request was on the same target when it crashed.
         assert_eq!(
             quarantine.observe_crash(ended_at, request(1), 7, sent_at),
             None
@@ -114,7 +115,7 @@
     assert!(quarantine.is_empty());
 }
 
-/// Hundreds of full targets end in one moment; what is in quarantine outlasts what may be nothing.
+/// Hundreds of full targets crash at once; quarantined requests are evicted after those with a single crash.
 #[tokio::test(start_paused = true)]
 async fn memory_is_bounded_and_quarantines_stay() {
     let now = Instant::now();
@@ -126,7 +127,7 @@
     assert!(quarantine.status(now, request(1)).is_quarantined());
 }
 
-/// A dozen streams were on the same three engines, one after the other, as the request that ended these.
+/// A dozen streams were on the same three engines in turn, among them the request that crashed these.
 #[tokio::test(start_paused = true)]
 async fn requests_that_were_on_the_same_targets_are_told_apart_by_the_next_crash() {
     let now = Instant::now();
@@ -152,7 +153,7 @@
     );
 }
 
-/// The other one that was there came to a good end, so it was not the cause.
+/// Of two requests on the same crashed targets, the other one has completed a run, so it was not the cause.
 #[tokio::test(start_paused = true)]
 async fn a_successful_run_clears_the_other_suspect() {
     let now = Instant::now();
@@ -166,7 +167,7 @@
 }
 
 proptest! {
-    /// Nodes hear of the same crashes in different orders.
+    /// Nodes learn of the same crashes in different orders.
     #[test]
     fn the_order_of_crash_reports_does_not_matter(targets in proptest::collection::vec(0u64..6, 0..20)) {
         let now = Instant::now();
@@ -183,8 +184,8 @@
     }
 }
 
-/// A target has ended under one request, started again unseen, and ends under two: the one that is new there counted
-/// this end as the target's first, so the two were not on the same targets.
+/// A target crashed under one request, restarted unnoticed and crashed again under that request and a second one. The
+/// second crash was counted as the target's first for the second request, so that the two did not share it.
 #[tokio::test(start_paused = true)]
 async fn requests_on_a_target_that_restarted_unnoticed_share_its_crash() {
     const TARGET: u64 = 7;
@@ -196,14 +197,14 @@
     let beside = quarantine.observe_crash(at(301), request(2), TARGET, at(210));
     assert_eq!(second.map(|c| c.target.number), Some(1));
     assert_eq!(beside.map(|c| c.target), second.map(|c| c.target));
-    // Another send to the life that ended tells nothing new.
+    // Another send to the incarnation that crashed adds no new crash.
     assert_eq!(
         quarantine.observe_crash(at(302), request(2), TARGET, at(220)),
         None
     );
 }
 
-/// A kept connection to a target that has just ended breaks a moment after the end is known.
+/// A kept-alive connection to a target that has just crashed breaks shortly after the crash is known.
 #[tokio::test(start_paused = true)]
 async fn a_send_right_after_a_crash_counts_as_the_same_crash() {
     const TARGET: u64 = 7;
@@ -218,8 +219,8 @@
     );
 }
 
-/// A target that had ended came back unseen and served a request; its new start, heard of later, was taken for the end of
-/// that run.
+/// A crashed target restarted unnoticed and served a request; when its new start became known later, it was taken for a
+/// crash during that run.
 #[tokio::test(start_paused = true)]
 async fn a_send_after_a_known_crash_is_distinguished_from_one_before_it() {
     const TARGET: u64 = 7;
--- a/crates/azuresaddle-sched/tests/suite/rate_bucket.rs
+++ b/crates/azuresaddle-sched/tests/suite/rate_bucket.rs
@@ -1,4 +1,4 @@
-//! What passes to a target that limits its rate.
+//! Requests allowed to a target with a rate limit.
 
 use std::time::Duration;
 
@@ -7,14 +7,14 @@
 use proptest::prelude::*;
 use tokio::time::Instant;
 
-/// Span in which a limit is checked.
+/// Length of the window in which the limit is checked.
 const SPAN: Duration = Duration::from_secs(4);
 
 fn limit(rate: f64) -> RateLimit {
     RateLimit::per_second(rate).unwrap()
 }
 
-/// Most that may pass in a span.
+/// Maximum number of requests allowed in any window of length [`SPAN`].
 fn max_allowed_per_span(rate: f64) -> usize {
     (1.5 * rate * SPAN.as_secs_f64()) as usize + 5
 }
@@ -27,7 +27,7 @@
     passed.iter().enumerate().map(in_span).max().unwrap_or(0)
 }
 
-/// Takes what it can get every 5 ms, but for the pauses.
+/// Tries to take a token every 5 ms for `length` and returns when it succeeded.
 fn take_all(bucket: &mut RateBucket, from: Instant, length: Duration) -> Vec<Instant> {
     let steps = length.as_millis() as u32 / 5;
     let moments = (0..steps).map(|n| from + Duration::from_millis(5) * n);
@@ -96,7 +96,7 @@
     assert_eq!(passed.len(), 800);
 }
 
-/// The counting moves from one node to another, also while both count for a moment.
+/// The rate limiting moves from node to node, and two nodes limit at the same time for a moment.
 #[test]
 fn the_limit_holds_when_the_owning_node_changes() {
     let now = Instant::now();
--- a/crates/azuresaddle-sched/tests/suite/support.rs
+++ b/crates/azuresaddle-sched/tests/suite/support.rs
@@ -1,4 +1,4 @@
-//! What the tests share.
+//! Helpers shared by the tests.
 
 use std::time::Duration;
 
@@ -46,7 +46,8 @@
     }
 }
 
-/// Decisions in short form: `1@e0,e1` for a reservation, `2!reason` for a refusal.
+/// Dispatches and returns the decisions in short form: `1@e0,e1` for a reservation, `2!reason` for
+/// a refusal.
 pub(crate) fn decide(pool: &mut Pool, now: Instant) -> Vec<String> {
     pool.dispatch(now);
     let describe = |action| match action {
