--- a/crates/azuresaddle-sched/src/demand.rs
+++ b/crates/azuresaddle-sched/src/demand.rs
@@ -51,8 +51,8 @@
     fn load(&self, class: Class) -> f64 {
         let window = WINDOWS[class.index()].as_secs_f64();
         let age = (self.updated - self.started).as_secs_f64();
-        let seen = 1.0 - (-age / window).exp();
-        self.busy_targets[class.index()] / seen.max(0.1)
+        let filled = 1.0 - (-age / window).exp();
+        self.busy_targets[class.index()] / filled.max(0.1)
     }
 
     /// Maximum number of `targets` that may run long prefills concurrently.
--- a/crates/azuresaddle-sched/src/pool/admission.rs
+++ b/crates/azuresaddle-sched/src/pool/admission.rs
@@ -54,7 +54,7 @@
             &request.limits,
         )?;
         if request.stream.attempt == 0 {
-            self.retries.on_first_try();
+            self.retries.on_first_attempt();
             self.demand.on_arrival(now, class, prefill);
         }
         let cost = prefill.as_secs_f64() / self.targets.len().max(1) as f64;
--- a/crates/azuresaddle-sched/src/pool/dispatch.rs
+++ b/crates/azuresaddle-sched/src/pool/dispatch.rs
@@ -69,7 +69,7 @@
             Class::Short => (usize::MAX, false),
             Class::Long => {
                 let allowed = self.max_long_targets(now);
-                let room = allowed.saturating_sub(self.taken_targets());
+                let room = allowed.saturating_sub(self.targets_unavailable_to_short());
                 (room, !self.any_long_prefill())
             }
         };
--- a/crates/azuresaddle-sched/src/pool/events.rs
+++ b/crates/azuresaddle-sched/src/pool/events.rs
@@ -101,7 +101,7 @@
             .collect()
     }
 
-    pub(super) fn note_outcome(&mut self, now: Instant, key: TargetKey, outcome: Outcome) {
+    pub(super) fn record_outcome(&mut self, now: Instant, key: TargetKey, outcome: Outcome) {
         let target = &mut self.targets[key];
         match outcome {
             Outcome::Done { .. } => target.breaker.on_success(),
--- a/crates/azuresaddle-sched/src/pool/ledger.rs
+++ b/crates/azuresaddle-sched/src/pool/ledger.rs
@@ -125,7 +125,7 @@
     pub(super) fn end_reservation(&mut self, now: Instant, key: ReservationKey, outcome: Outcome) {
         for target in self.reservations[key].targets.clone() {
             self.release_on(now, key, target);
-            self.note_outcome(now, target, outcome);
+            self.record_outcome(now, target, outcome);
         }
         let reservation = self.reservations.remove(key).expect("the key is live");
         self.by_stream.remove(&reservation.stream);
@@ -138,13 +138,13 @@
 
     /// Number of targets that short prompts can't use because they run a long prefill, lack memory
     /// or are being drained.
-    pub(super) fn taken_targets(&self) -> usize {
+    pub(super) fn targets_unavailable_to_short(&self) -> usize {
         let room = MIN_SHORT_PROMPTS * self.options.short_max_tokens;
-        let is_taken = |t: &&Target| {
+        let is_unavailable = |t: &&Target| {
             let lacks_room = t.free() < room.min(t.spec.memory_tokens);
             lacks_room || t.drain.is_some() || self.runs_long_prefill(t)
         };
-        self.targets.values().filter(is_taken).count()
+        self.targets.values().filter(is_unavailable).count()
     }
 
     /// Whether any target is running a long prefill.
--- a/crates/azuresaddle-sched/src/retry_budget.rs
+++ b/crates/azuresaddle-sched/src/retry_budget.rs
@@ -1,7 +1,7 @@
 //! Budget of retries.
 
 /// Fraction of a retry that each first attempt earns.
-const EARNED_PER_FIRST_TRY: f64 = 0.1;
+const EARNED_PER_FIRST_ATTEMPT: f64 = 0.1;
 
 /// Maximum number of retries that can accumulate.
 const MAX_RETRIES: f64 = 100.0;
@@ -24,8 +24,8 @@
 }
 
 impl RetryBudget {
-    pub(crate) fn on_first_try(&mut self) {
-        self.available = (self.available + EARNED_PER_FIRST_TRY).min(MAX_RETRIES);
+    pub(crate) fn on_first_attempt(&mut self) {
+        self.available = (self.available + EARNED_PER_FIRST_ATTEMPT).min(MAX_RETRIES);
     }
 
     /// Uses one retry; false if none is left.
--- a/crates/azuresaddle-sched/tests/suite/quarantine.rs
+++ b/crates/azuresaddle-sched/tests/suite/quarantine.rs
@@ -129,7 +129,7 @@
 
 /// A dozen streams were on the same three engines in turn, among them the request that crashed these.
 #[tokio::test(start_paused = true)]
-async fn requests_that_were_on_the_same_targets_are_told_apart_by_the_next_crash() {
+async fn requests_on_the_same_targets_are_distinguished_by_the_next_crash() {
     let now = Instant::now();
     let mut quarantine = Quarantine::default();
     for target in 0..3 {
--- a/crates/azuresaddle-sched/tests/suite/rate_bucket.rs
+++ b/crates/azuresaddle-sched/tests/suite/rate_bucket.rs
@@ -140,10 +140,10 @@
         let mut bucket = RateBucket::new(now, limit(0.0));
         let mut passed = Vec::new();
         let highest = steps.iter().map(|(_, _, rate)| *rate).fold(0.0, f64::max);
-        for (pause_ms, asks, rate) in steps {
+        for (pause_ms, requests, rate) in steps {
             now += Duration::from_millis(pause_ms);
             bucket.set_limit(now, limit(rate));
-            passed.extend((0..asks).filter(|_| bucket.take(now)).map(|_| now));
+            passed.extend((0..requests).filter(|_| bucket.take(now)).map(|_| now));
         }
         prop_assert!(max_in_any_span(&passed) <= max_allowed_per_span(highest));
     }
