--- a/crates/azuresaddle-edge/src/forward/stream/mod.rs
+++ b/crates/azuresaddle-edge/src/forward/stream/mod.rs
@@ -12,7 +12,7 @@
 
 use azuresaddle_core::burn::Sample;
 use azuresaddle_core::prelude::*;
-use azuresaddle_sched::passes::PassOutcome;
+use azuresaddle_sched::passes::StreamOutcome;
 use hyper::header::{HeaderMap, HeaderValue};
 use hyper::{Response, StatusCode};
 use tokio::sync::{mpsc, oneshot};
@@ -178,7 +178,7 @@
             let sent_at = Instant::now();
             match self.send(&place).await {
                 Sent::Quarantined => {
-                    place.end(PassOutcome::Cancelled);
+                    place.end(StreamOutcome::Cancelled);
                     return self.refuse_quarantined();
                 }
                 Sent::Complete => {
@@ -186,11 +186,11 @@
                     self.cx.metrics.on_send(&self.req.service, "answered");
                     self.log(&lead, "stream complete");
                     self.record(StreamEnd::Complete);
-                    return place.end(PassOutcome::Done);
+                    return place.end(StreamOutcome::Done);
                 }
-                Sent::CallerGone => return place.end(PassOutcome::Cancelled),
+                Sent::CallerGone => return place.end(StreamOutcome::Cancelled),
                 Sent::Failed(response) => {
-                    place.end(PassOutcome::TargetFailed(lead));
+                    place.end(StreamOutcome::TargetFailed(lead));
                     self.runs += 1;
                     self.last_failure = Some(response);
                     if !self.may_run_again() {
@@ -210,22 +210,22 @@
     }
 
     /// What a failed send tells of the engine that was to write the answer.
-    fn outcome_of(&self, lead: HostName, failure: &SendFailure) -> PassOutcome {
+    fn outcome_of(&self, lead: HostName, failure: &SendFailure) -> StreamOutcome {
         match failure {
             // The one at fault is excluded for this request; the lead itself did nothing wrong.
-            SendFailure::Declined { at: Some(_), .. } => PassOutcome::Cancelled,
+            SendFailure::Declined { at: Some(_), .. } => StreamOutcome::Cancelled,
             SendFailure::Declined { .. } => match self.cx.health.back_offs().until(&lead) {
-                Some(until) => PassOutcome::TargetBacksOff {
+                Some(until) => StreamOutcome::TargetBacksOff {
                     target: lead,
                     time: until - Instant::now(),
                 },
-                None => PassOutcome::TargetRefused(lead),
+                None => StreamOutcome::TargetRefused(lead),
             },
-            SendFailure::BacksOff => PassOutcome::Cancelled,
+            SendFailure::BacksOff => StreamOutcome::Cancelled,
             SendFailure::NotSent(_)
             | SendFailure::WrongTarget
             | SendFailure::Broken(_)
-            | SendFailure::Silent => PassOutcome::TargetFailed(lead),
+            | SendFailure::Silent => StreamOutcome::TargetFailed(lead),
         }
     }
 
--- a/crates/azuresaddle-edge/src/forward/stream/place.rs
+++ b/crates/azuresaddle-edge/src/forward/stream/place.rs
@@ -5,7 +5,7 @@
 
 use azuresaddle_core::deployment::TargetEntry;
 use azuresaddle_core::prelude::*;
-use azuresaddle_sched::passes::PassOutcome;
+use azuresaddle_sched::passes::StreamOutcome;
 use tokio::time::Instant;
 
 use super::{FirstPlace, MAX_DECLINED, NoPlace, RETRY_AFTER, Relay};
@@ -47,7 +47,7 @@
         }
     }
 
-    pub(super) fn end(self, outcome: PassOutcome) {
+    pub(super) fn end(self, outcome: StreamOutcome) {
         if let Some(placed) = self.placed {
             placed.end(outcome);
         }
@@ -122,7 +122,7 @@
             let Some(target) = usable.cloned() else {
                 // The owner has not heard yet that the target is gone.
                 let lead = placed.lead.clone();
-                placed.end(PassOutcome::TargetRefused(lead.clone()));
+                placed.end(StreamOutcome::TargetRefused(lead.clone()));
                 self.exclude.push(lead);
                 self.declined += 1;
                 if self.declined > MAX_DECLINED {
--- a/crates/azuresaddle-edge/src/peer/messages.rs
+++ b/crates/azuresaddle-edge/src/peer/messages.rs
@@ -6,7 +6,7 @@
 use azuresaddle_core::deployment::RateLimit;
 use azuresaddle_core::prelude::*;
 use azuresaddle_platform::StorePosition;
-use azuresaddle_sched::passes::{AskId, PassOutcome, RunningStream, Suspect};
+use azuresaddle_sched::passes::{PlacementId, RunningStream, StreamOutcome, Suspect};
 use serde::{Deserialize, Serialize};
 
 use crate::control::TargetUpdate;
@@ -14,7 +14,7 @@
 /// Asks the owner to place a stream. Times are relative, since clocks differ.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct AskMessage {
-    pub(crate) id: AskId,
+    pub(crate) id: PlacementId,
     pub(crate) service: String,
     pub(crate) account: ClientAccount,
     pub(crate) domain: FailureDomain,
@@ -81,13 +81,13 @@
     /// Its first event came.
     FirstEvent,
     /// It ended.
-    Ended(PassOutcome),
+    Ended(StreamOutcome),
 }
 
 /// News of a stream for the owner.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Report {
-    pub(crate) id: AskId,
+    pub(crate) id: PlacementId,
     pub(crate) service: String,
     pub(crate) kind: ReportKind,
 }
@@ -99,7 +99,7 @@
     /// Running streams by service.
     pub(crate) running: Vec<(String, RunningStream)>,
     /// Asks without a decision.
-    pub(crate) waiting: Vec<AskId>,
+    pub(crate) waiting: Vec<PlacementId>,
     /// Asks with a higher number began after this message was made.
     pub(crate) up_to: u64,
 }
--- a/crates/azuresaddle-edge/src/placement/client.rs
+++ b/crates/azuresaddle-edge/src/placement/client.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use azuresaddle_core::prelude::*;
-use azuresaddle_sched::passes::{AskId, RunningStream, Suspect};
+use azuresaddle_sched::passes::{PlacementId, RunningStream, Suspect};
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
 
@@ -76,7 +76,7 @@
     peers: PeerClients<N>,
     snapshots: Snapshots,
     next: AtomicU64,
-    live: Mutex<HashMap<AskId, Live>>,
+    live: Mutex<HashMap<PlacementId, Live>>,
     reports: mpsc::Sender<Report>,
     /// Grows when the connection to the owner was found dead, so that asks on it start anew.
     reconnects: watch::Sender<u64>,
@@ -111,7 +111,7 @@
     /// The time after which to come back, where the stream is refused; it did not run.
     pub(crate) async fn place(self: &Arc<Self>, req: PlaceRequest) -> Result<Placed<N>, Duration> {
         let number = self.next.fetch_add(1, Ordering::Relaxed);
-        let id = AskId {
+        let id = PlacementId {
             node: self.node,
             number,
         };
@@ -143,7 +143,7 @@
                     prompt_tokens: req.prompt_tokens,
                     answer_tokens: req.answer_tokens,
                     pause: req.pause,
-                    is_writing: false,
+                    is_decoding: false,
                     first_event_in,
                     suspect: req.suspect,
                 };
@@ -165,7 +165,7 @@
     }
 
     /// Asks whoever is the owner, anew after each change, until there is a decision.
-    async fn ask_until_decided(&self, id: AskId, req: &PlaceRequest) -> AskReply {
+    async fn ask_until_decided(&self, id: PlacementId, req: &PlaceRequest) -> AskReply {
         let mut owner = self.snapshots.subscribe_owner();
         let mut reconnects = self.reconnects.subscribe();
         let mut failing_since: Option<Instant> = None;
@@ -213,7 +213,7 @@
     async fn ask_once(
         &self,
         who: u64,
-        id: AskId,
+        id: PlacementId,
         req: &PlaceRequest,
         alone: bool,
     ) -> Option<AskReply> {
@@ -276,7 +276,7 @@
                     first_event_at,
                 } => {
                     let mut stream = stream.clone();
-                    if !stream.is_writing {
+                    if !stream.is_decoding {
                         stream.first_event_in = first_event_at.saturating_duration_since(now);
                     }
                     running.push((service.to_string(), stream));
@@ -292,7 +292,7 @@
     }
 
     /// Tells the owner what happened to a stream.
-    pub(super) fn report(&self, id: AskId, service: &Arc<str>, kind: ReportKind) {
+    pub(super) fn report(&self, id: PlacementId, service: &Arc<str>, kind: ReportKind) {
         let report = Report {
             id,
             service: service.to_string(),
@@ -336,7 +336,7 @@
         let _ = self.no_answer.try_send(owner);
     }
 
-    pub(super) fn lock(&self) -> MutexGuard<'_, HashMap<AskId, Live>> {
+    pub(super) fn lock(&self) -> MutexGuard<'_, HashMap<PlacementId, Live>> {
         self.live.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/azuresaddle-edge/src/placement/owner.rs
+++ b/crates/azuresaddle-edge/src/placement/owner.rs
@@ -8,7 +8,7 @@
 use azuresaddle_core::prelude::*;
 use azuresaddle_platform::EngineReport;
 use azuresaddle_sched::passes::{
-    AskId, PassAsk, PassDecision, PassOptions, PassOutcome, RunningStream,
+    PassOptions, PlacementDecision, PlacementId, PlacementRequest, RunningStream, StreamOutcome,
 };
 use tokio::sync::{Notify, mpsc, oneshot};
 use tokio::time::Instant;
@@ -104,24 +104,24 @@
             undecided.id = None;
         }
         match decision {
-            Ok(PassDecision::Granted(grant)) => AskReply::Granted {
+            Ok(PlacementDecision::Granted(grant)) => AskReply::Granted {
                 lead: grant.lead,
                 helpers: grant.helpers,
                 helper_memory_tokens: grant.helper_memory_tokens,
                 first_event_in: grant.first_event_in,
             },
-            Ok(PassDecision::Refused { retry_after }) => AskReply::Refused { retry_after },
+            Ok(PlacementDecision::Refused { retry_after }) => AskReply::Refused { retry_after },
             Err(_) => AskReply::Unknown,
         }
     }
 
-    fn enqueue(&self, ask: AskMessage) -> Option<oneshot::Receiver<PassDecision>> {
+    fn enqueue(&self, ask: AskMessage) -> Option<oneshot::Receiver<PlacementDecision>> {
         let now = Instant::now();
         let mut state = self.lock();
         let pool = state.pools.get_mut(ask.service.as_str())?;
         pool.enqueue(
             now,
-            PassAsk {
+            PlacementRequest {
                 id: ask.id,
                 account: ask.account,
                 domain: ask.domain,
@@ -215,7 +215,7 @@
                 .filter(|(service, _)| **service == **name)
                 .map(|(_, stream)| stream.clone())
                 .collect();
-            let is_known = |id: AskId| id.number > sync.up_to || sync.waiting.contains(&id);
+            let is_known = |id: PlacementId| id.number > sync.up_to || sync.waiting.contains(&id);
             pool.sync_node(now, sync.node, &running, is_known);
         }
         state.note_told(sync.node);
@@ -224,12 +224,12 @@
         self.changed.notify_one();
     }
 
-    fn withdraw(&self, id: AskId) {
+    fn withdraw(&self, id: PlacementId) {
         let now = Instant::now();
         let mut state = self.lock();
         state.waiters.remove(&id);
         for pool in state.pools.values_mut() {
-            pool.end(now, id, &PassOutcome::Cancelled);
+            pool.end(now, id, &StreamOutcome::Cancelled);
         }
         state.dispatch(now);
         drop(state);
@@ -244,7 +244,7 @@
 /// Withdraws an ask whose future is dropped before a decision.
 struct Undecided<'a> {
     owner: &'a Owner,
-    id: Option<AskId>,
+    id: Option<PlacementId>,
 }
 
 impl Drop for Undecided<'_> {
--- a/crates/azuresaddle-edge/src/placement/owner_state.rs
+++ b/crates/azuresaddle-edge/src/placement/owner_state.rs
@@ -7,7 +7,9 @@
 use azuresaddle_core::deployment::{Configuration, RateLimit};
 use azuresaddle_core::prelude::*;
 use azuresaddle_sched::RateBucket;
-use azuresaddle_sched::passes::{AskId, PassDecision, PassOptions, PassOutcome, PassPool};
+use azuresaddle_sched::passes::{
+    PassOptions, PassPool, PlacementDecision, PlacementId, StreamOutcome,
+};
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
@@ -27,7 +29,7 @@
     /// What its pools do.
     pub(super) options: PassOptions,
     pub(super) pools: HashMap<Arc<str>, PassPool>,
-    pub(super) waiters: HashMap<AskId, oneshot::Sender<PassDecision>>,
+    pub(super) waiters: HashMap<PlacementId, oneshot::Sender<PlacementDecision>>,
     pub(super) is_owner: bool,
     pub(super) handover: Option<Handover>,
     /// What the pools were brought up to last.
@@ -131,7 +133,7 @@
                 .entry(Arc::clone(&service.name))
                 .or_insert_with(|| {
                     let mut pool = PassPool::new(self.options.clone(), spec.clone());
-                    pool.set_placing(now, self.is_owner);
+                    pool.set_owner(now, self.is_owner);
                     pool
                 });
             pool.set_spec(spec);
@@ -149,7 +151,7 @@
     fn set_placing(&mut self, now: Instant, is_placing: bool) {
         self.plain_rates.clear();
         for pool in self.pools.values_mut() {
-            pool.set_placing(now, is_placing);
+            pool.set_owner(now, is_placing);
         }
     }
 
@@ -228,7 +230,7 @@
             return Vec::new();
         }
         let pools = self.pools.values_mut();
-        pools.flat_map(|p| p.take_pace_questions(now)).collect()
+        pools.flat_map(|p| p.take_pace_probes(now)).collect()
     }
 
     /// Places what can be placed and tells the askers.
@@ -253,7 +255,7 @@
                     .is_some_and(|tx| tx.send(decision).is_ok());
                 if !told {
                     // Whoever asked is gone, so nothing will run.
-                    pool.end(now, id, &PassOutcome::Cancelled);
+                    pool.end(now, id, &StreamOutcome::Cancelled);
                 }
             }
         }
--- a/crates/azuresaddle-edge/src/placement/placed.rs
+++ b/crates/azuresaddle-edge/src/placement/placed.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use azuresaddle_core::prelude::*;
-use azuresaddle_sched::passes::{AskId, PassOutcome};
+use azuresaddle_sched::passes::{PlacementId, StreamOutcome};
 
 use super::client::{Live, Placement};
 use crate::peer::ReportKind;
@@ -12,7 +12,7 @@
 /// Engines for a stream, held until it ends.
 pub(crate) struct Placed<N: Network> {
     pub(super) placement: Arc<Placement<N>>,
-    pub(super) id: AskId,
+    pub(super) id: PlacementId,
     pub(super) service: Arc<str>,
     pub(crate) lead: HostName,
     pub(crate) helpers: Vec<HostName>,
@@ -26,7 +26,7 @@
     /// Notes the first event.
     pub(crate) fn on_first_event(&self) {
         if let Some(Live::Running { stream, .. }) = self.placement.lock().get_mut(&self.id) {
-            stream.is_writing = true;
+            stream.is_decoding = true;
             stream.first_event_in = Duration::ZERO;
         }
         self.placement
@@ -34,11 +34,11 @@
     }
 
     /// Gives the engines back.
-    pub(crate) fn end(mut self, outcome: PassOutcome) {
+    pub(crate) fn end(mut self, outcome: StreamOutcome) {
         self.finish(outcome);
     }
 
-    fn finish(&mut self, outcome: PassOutcome) {
+    fn finish(&mut self, outcome: StreamOutcome) {
         if self.is_ended {
             return;
         }
@@ -57,6 +57,6 @@
 
 impl<N: Network> Drop for Placed<N> {
     fn drop(&mut self) {
-        self.finish(PassOutcome::Cancelled);
+        self.finish(StreamOutcome::Cancelled);
     }
 }
--- a/crates/azuresaddle-edge/src/placement/tests/rounds.rs
+++ b/crates/azuresaddle-edge/src/placement/tests/rounds.rs
@@ -5,7 +5,9 @@
 
 use azuresaddle_core::deployment::EngineSpec;
 use azuresaddle_core::prelude::*;
-use azuresaddle_sched::passes::{AskId, PassAsk, PassDecision, PassOptions, PassPool};
+use azuresaddle_sched::passes::{
+    PassOptions, PassPool, PlacementDecision, PlacementId, PlacementRequest,
+};
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
@@ -28,9 +30,9 @@
     }
 }
 
-fn ask(now: Instant, number: u64) -> PassAsk {
-    PassAsk {
-        id: AskId { node: 1, number },
+fn ask(now: Instant, number: u64) -> PlacementRequest {
+    PlacementRequest {
+        id: PlacementId { node: 1, number },
         account: ClientAccount::new(format!("account-{number}")),
         domain: FailureDomain::new("d1"),
         prompt_tokens: 4000,
@@ -54,7 +56,7 @@
 }
 
 /// An ask arrives; its decision comes out of the receiver.
-fn arrive(state: &mut State, now: Instant, number: u64) -> oneshot::Receiver<PassDecision> {
+fn arrive(state: &mut State, now: Instant, number: u64) -> oneshot::Receiver<PlacementDecision> {
     let ask = ask(now, number);
     let (tx, rx) = oneshot::channel();
     state.waiters.insert(ask.id, tx);
--- a/crates/azuresaddle-edge/src/quarantine/shared.rs
+++ b/crates/azuresaddle-edge/src/quarantine/shared.rs
@@ -60,8 +60,8 @@
         let state = self.lock();
         let is_suspect = state.status(Instant::now(), request) != RequestStatus::Clear;
         is_suspect.then(|| Suspect {
-            request,
-            keeps_apart: state.is_one_crash_from_quarantine(Instant::now(), request),
+            fingerprint: request,
+            needs_isolation: state.is_one_crash_from_quarantine(Instant::now(), request),
         })
     }
 
--- a/crates/azuresaddle-sched/benches/passes.rs
+++ b/crates/azuresaddle-sched/benches/passes.rs
@@ -8,18 +8,20 @@
 use std::time::Duration;
 
 use azuresaddle_core::prelude::*;
-use azuresaddle_sched::passes::{AskId, PassAsk, PassOptions, PassOutcome, PassPool};
+use azuresaddle_sched::passes::{
+    PassOptions, PassPool, PlacementId, PlacementRequest, StreamOutcome,
+};
 use criterion::{Criterion, criterion_group, criterion_main};
 use tokio::time::Instant;
 
-#[path = "../tests/suite/passes/usual_engine.rs"]
-mod usual_engine;
+#[path = "../tests/suite/passes/reference_engine.rs"]
+mod reference_engine;
 
-use usual_engine::spec;
+use reference_engine::spec;
 
-fn ask(now: Instant, number: u64, prompt_tokens: u64) -> PassAsk {
-    PassAsk {
-        id: AskId { node: 1, number },
+fn request(now: Instant, number: u64, prompt_tokens: u64) -> PlacementRequest {
+    PlacementRequest {
+        id: PlacementId { node: 1, number },
         account: ClientAccount::new(format!("account-{}", number % 200)),
         domain: FailureDomain::new("d1"),
         prompt_tokens,
@@ -34,7 +36,7 @@
 }
 
 /// Arrival, placement, first event and end of a short prompt while long ones wait.
-fn decide(c: &mut Criterion) {
+fn place_short_prompt(c: &mut Criterion) {
     for engines in [18, 256] {
         for waiting in [100, 10_000] {
             let now = Instant::now();
@@ -49,7 +51,7 @@
             }
             // Far too long to begin, so that all of them stay.
             for n in 0..waiting {
-                pool.enqueue(now, ask(now, 1_000_000 + n, 4_000_000));
+                pool.enqueue(now, request(now, 1_000_000 + n, 4_000_000));
             }
             pool.dispatch(now);
             pool.take_decisions();
@@ -57,12 +59,12 @@
             c.bench_function(&format!("{engines} engines, {waiting} waiting"), |b| {
                 b.iter(|| {
                     number += 1;
-                    let id = AskId { node: 1, number };
-                    pool.enqueue(now, ask(now, number, 3000));
+                    let id = PlacementId { node: 1, number };
+                    pool.enqueue(now, request(now, number, 3000));
                     pool.dispatch(now);
                     black_box(pool.take_decisions());
                     pool.on_first_event(now, id);
-                    pool.end(now, id, &PassOutcome::Done);
+                    pool.end(now, id, &StreamOutcome::Done);
                 });
             });
         }
@@ -70,7 +72,7 @@
 }
 
 /// A round in which every engine is full and as many short prompts wait.
-fn find_no_room(c: &mut Criterion) {
+fn dispatch_to_full_engines(c: &mut Criterion) {
     for (engines, waiting) in [(18, 20), (150, 100)] {
         let now = Instant::now();
         let mut pool = PassPool::new(PassOptions::default(), spec());
@@ -80,9 +82,9 @@
         }
         // Far more than there are slots; the last ones stay.
         for n in 0..engines * 20 + waiting {
-            let mut ask = ask(now, n, 3000);
-            ask.first_event_by = now + Duration::from_millis(300);
-            pool.enqueue(now, ask);
+            let mut request = request(now, n, 3000);
+            request.first_event_by = now + Duration::from_millis(300);
+            pool.enqueue(now, request);
             pool.dispatch(now);
         }
         pool.take_decisions();
@@ -96,5 +98,5 @@
     }
 }
 
-criterion_group!(benches, decide, find_no_room);
+criterion_group!(benches, place_short_prompt, dispatch_to_full_engines);
 criterion_main!(benches);
--- a/crates/azuresaddle-sched/src/passes/backlog.rs
+++ b/crates/azuresaddle-sched/src/passes/long_load.rs
@@ -13,7 +13,7 @@
 const WINDOW: Duration = Duration::from_secs(4);
 
 /// Part of the engines' time that long prompts can't use, since answers are written.
-const WRITING_SHARE: f64 = 0.3;
+const DECODE_SHARE: f64 = 0.3;
 
 /// Least part of the engines that a prompt is expected to find however high the load; a lower one refuses the
 /// largest prompts at once.
@@ -21,14 +21,14 @@
 
 /// Arrivals within the window.
 #[derive(Debug, Default)]
-pub(super) struct Backlog {
+pub(super) struct LongLoad {
     arrivals: VecDeque<(Instant, f64)>,
 }
 
-impl Backlog {
+impl LongLoad {
     /// Notes a long prompt.
-    pub(super) fn on_arrival(&mut self, now: Instant, read_ms: f64) {
-        self.arrivals.push_back((now, read_ms));
+    pub(super) fn on_arrival(&mut self, now: Instant, prefill_ms: f64) {
+        self.arrivals.push_back((now, prefill_ms));
         while self
             .arrivals
             .front()
@@ -39,13 +39,13 @@
     }
 
     /// Part of the engines that a prompt can expect, beside those that read quicker.
-    pub(super) fn free_share(&self, now: Instant, read_ms: f64, engines: usize) -> f64 {
+    pub(super) fn free_share(&self, now: Instant, prefill_ms: f64, engines: usize) -> f64 {
         let recent = self
             .arrivals
             .iter()
-            .filter(|(at, ms)| now.saturating_duration_since(*at) <= WINDOW && *ms < read_ms);
+            .filter(|(at, ms)| now.saturating_duration_since(*at) <= WINDOW && *ms < prefill_ms);
         let offered_ms: f64 = recent.map(|(_, ms)| ms).sum();
         let capacity_ms = WINDOW.as_secs_f64() * 1000.0 * engines.max(1) as f64;
-        (1.0 - WRITING_SHARE - offered_ms / capacity_ms).max(MIN_FREE_SHARE)
+        (1.0 - DECODE_SHARE - offered_ms / capacity_ms).max(MIN_FREE_SHARE)
     }
 }
--- a/crates/azuresaddle-sched/src/passes/long_plan.rs
+++ b/crates/azuresaddle-sched/src/passes/long_plan.rs
@@ -10,13 +10,13 @@
 use slotmap::SlotMap;
 use tokio::time::Instant;
 
-use super::ask::PassAsk;
-use super::candidates::{Candidate, Candidates};
-use super::engine::{Engine, EngineId};
-use super::round::Round;
+use super::engine::{Engine, EngineKey};
+use super::long_candidates::{LongCandidate, LongCandidates};
+use super::pool_view::PoolView;
+use super::request::PlacementRequest;
 
 /// Engines that one prompt may be read by, by the engines' interface: one and 16 helpers.
-pub(super) const MAX_MEMBERS: usize = 17;
+pub(super) const MAX_ENGINES_PER_PROMPT: usize = 17;
 
 /// Time by which one more engine must bring the end nearer, in milliseconds: its own share of
 /// waiting for a pass and of messages.
@@ -27,14 +27,14 @@
 const MAX_LATE_PART_MS: f64 = 1000.0;
 
 /// Time before the caller gives up from which a late prompt takes any engines that end it in time.
-const LAST_CHANCE: Duration = Duration::from_secs(4);
+const GIVE_UP_MARGIN: Duration = Duration::from_secs(4);
 
 /// Time by which a plan that writes on an engine of its own must end sooner, in milliseconds: a part
 /// of the passes that it takes from that engine.
-const ALONE_COST_MS: f64 = 200.0;
+const LONE_DECODE_COST_MS: f64 = 200.0;
 
 /// Time that 1,000 prompt tokens of streams made late must bring the end nearer, in milliseconds.
-const BROKEN_COST_MS: f64 = 4.0;
+const DELAY_COST_MS_PER_1K_TOKENS: f64 = 4.0;
 
 /// Longest time until all engines of a plan begin; a plan further ahead waits, so that a quicker
 /// prompt that arrives meanwhile can go first.
@@ -42,13 +42,13 @@
 
 /// Longest time to the first event of a plan that reserves memory, in milliseconds: memory that was not
 /// used for 9 s counts as lost, and it may come to be used only when the prompt is read.
-const MAX_RESERVED_MS: f64 = 7000.0;
+const MAX_RESERVED_FIRST_EVENT_MS: f64 = 7000.0;
 
 /// Engines for a long prompt.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct LongPlan {
     /// The first engine leads.
-    pub(super) engines: Vec<EngineId>,
+    pub(super) engines: Vec<EngineKey>,
     /// Reading on each engine, in milliseconds.
     pub(super) part_ms: f64,
     /// Milliseconds until the last engine begins.
@@ -58,15 +58,15 @@
     /// Memory to reserve on each helper, in tokens.
     pub(super) helper_memory_tokens: u64,
     /// Prompt tokens of the streams that become late by it.
-    pub(super) broken_tokens: u64,
+    pub(super) delayed_tokens: u64,
     /// Whether nothing else is written on the leading engine.
-    pub(super) lead_writes_alone: bool,
+    pub(super) lead_decodes_alone: bool,
 }
 
 impl LongPlan {
     /// Whether the first event comes in time.
-    pub(super) fn is_on_time(&self, now: Instant, ask: &PassAsk) -> bool {
-        now + Duration::from_secs_f64(self.first_event_ms / 1000.0) <= ask.first_event_by
+    pub(super) fn is_on_time(&self, now: Instant, request: &PlacementRequest) -> bool {
+        now + Duration::from_secs_f64(self.first_event_ms / 1000.0) <= request.first_event_by
     }
 
     /// Whether to begin now rather than to wait for more or sooner engines.
@@ -74,69 +74,79 @@
     /// A prompt that is left whole on the only free engine keeps it for seconds, so one that such a plan makes late
     /// waits while more engines could still end it in time.
     /// One that would end after its deadline never begins: it would keep engines for nothing.
-    pub(super) fn is_due(&self, now: Instant, ask: &PassAsk, engines: usize) -> bool {
+    pub(super) fn should_start(
+        &self,
+        now: Instant,
+        request: &PlacementRequest,
+        engines: usize,
+    ) -> bool {
         if self.start_ms > MAX_START_MS {
             return false;
         }
-        if self.helper_memory_tokens > 0 && self.first_event_ms > MAX_RESERVED_MS {
+        if self.helper_memory_tokens > 0 && self.first_event_ms > MAX_RESERVED_FIRST_EVENT_MS {
             return false;
         }
         let first_event_at = now + Duration::from_secs_f64(self.first_event_ms / 1000.0);
-        if first_event_at > ask.give_up_at || first_event_at + ask.writing_time() > ask.deadline {
+        if first_event_at > request.give_up_at
+            || first_event_at + request.decode_time() > request.deadline
+        {
             return false;
         }
-        if first_event_at <= ask.first_event_by {
+        if first_event_at <= request.first_event_by {
             return true;
         }
-        let read_ms = self.part_ms * self.engines.len() as f64;
-        let most = engines.clamp(1, MAX_MEMBERS);
-        let least = Duration::from_secs_f64(read_ms / most as f64 / 1000.0);
-        if now + least <= ask.first_event_by {
+        let prefill_ms = self.part_ms * self.engines.len() as f64;
+        let most = engines.clamp(1, MAX_ENGINES_PER_PROMPT);
+        let least = Duration::from_secs_f64(prefill_ms / most as f64 / 1000.0);
+        if now + least <= request.first_event_by {
             return false;
         }
-        let usual_part_ms = read_ms / most as f64;
+        let usual_part_ms = prefill_ms / most as f64;
         self.part_ms <= MAX_LATE_PART_MS.max(usual_part_ms * 1.5)
-            || first_event_at + LAST_CHANCE >= ask.give_up_at
+            || first_event_at + GIVE_UP_MARGIN >= request.give_up_at
     }
 }
 
 /// The engines that end the reading soonest, and make streams of at most `broken_tokens` prompt
 /// tokens late by it; `None` where no set of engines can bear it.
 pub(super) fn plan_long(
-    round: &Round<'_>,
-    candidates: &Candidates,
-    ask: &PassAsk,
-    read_ms: f64,
-    broken_tokens: u64,
+    view: &PoolView<'_>,
+    candidates: &LongCandidates,
+    request: &PlacementRequest,
+    prefill_ms: f64,
+    delayed_tokens: u64,
 ) -> Option<LongPlan> {
-    let candidates = candidates.for_ask(round, ask);
-    let memory = ask.prompt_tokens + ask.answer_tokens;
-    let fewest = memory.div_ceil(round.spec.memory_tokens.max(1)) as usize;
-    let most = candidates.len().min(if round.options.split_long {
-        MAX_MEMBERS
+    let candidates = candidates.for_request(view, request);
+    let memory = request.prompt_tokens + request.answer_tokens;
+    let fewest = memory.div_ceil(view.spec.memory_tokens.max(1)) as usize;
+    let most = candidates.len().min(if view.options.split_long {
+        MAX_ENGINES_PER_PROMPT
     } else {
         fewest
     });
     let mut best: Option<(f64, LongPlan)> = None;
     for count in 1..=most {
-        let part_ms = read_ms / count as f64;
-        let share = Share {
+        let part_ms = prefill_ms / count as f64;
+        let split = Split {
             memory,
             count,
             part_ms,
-            broken_tokens,
-            domain: &ask.domain,
+            delayed_tokens,
+            domain: &request.domain,
         };
-        let Some(plan) = plan_with(round, &candidates, &share) else {
+        let Some(plan) = plan_with(view, &candidates, &split) else {
             continue;
         };
-        let broken_ms = plan.broken_tokens as f64 / 1000.0 * BROKEN_COST_MS;
-        let alone_ms = if plan.lead_writes_alone {
-            ALONE_COST_MS
+        let delay_cost_ms = plan.delayed_tokens as f64 / 1000.0 * DELAY_COST_MS_PER_1K_TOKENS;
+        let lone_decode_cost_ms = if plan.lead_decodes_alone {
+            LONE_DECODE_COST_MS
         } else {
             0.0
         };
-        let cost = plan.first_event_ms + HELPER_COST_MS * count as f64 + broken_ms + alone_ms;
+        let cost = plan.first_event_ms
+            + HELPER_COST_MS * count as f64
+            + delay_cost_ms
+            + lone_decode_cost_ms;
         if best.as_ref().is_none_or(|(least, _)| cost < *least) {
             best = Some((cost, plan));
         }
@@ -146,106 +156,115 @@
 
 /// One way to split a prompt.
 #[derive(Clone, Copy, Debug)]
-struct Share<'a> {
+struct Split<'a> {
     /// Memory that the stream needs, in tokens.
     memory: u64,
     count: usize,
     part_ms: f64,
     /// Most prompt tokens of streams that may be made late.
-    broken_tokens: u64,
+    delayed_tokens: u64,
     /// Failure domain of the node that will relay the answer.
     domain: &'a FailureDomain,
 }
 
 /// A plan with exactly as many engines.
-fn plan_with(round: &Round<'_>, candidates: &[Candidate], share: &Share<'_>) -> Option<LongPlan> {
-    let spec = round.spec;
-    let others = share.count as u64 - 1;
-    let helper_memory_tokens = if share.memory <= spec.memory_tokens {
+fn plan_with(
+    view: &PoolView<'_>,
+    candidates: &[LongCandidate],
+    split: &Split<'_>,
+) -> Option<LongPlan> {
+    let spec = view.spec;
+    let others = split.count as u64 - 1;
+    let helper_memory_tokens = if split.memory <= spec.memory_tokens {
         0
     } else {
-        share.memory.div_ceil(share.count as u64)
+        split.memory.div_ceil(split.count as u64)
     };
-    let lead_memory = share.memory.saturating_sub(helper_memory_tokens * others);
-    let can_lead = |c: &&Candidate| c.can_lead && c.free_tokens >= lead_memory;
-    let able: Vec<&Candidate> = candidates
+    let lead_memory = split.memory.saturating_sub(helper_memory_tokens * others);
+    let can_lead = |c: &&LongCandidate| c.can_lead && c.free_tokens >= lead_memory;
+    let able: Vec<&LongCandidate> = candidates
         .iter()
         .filter(|c| c.free_tokens >= helper_memory_tokens)
         .collect();
-    let is_local = |c: &Candidate| round.engines[c.key].domain == *share.domain;
+    let is_local = |c: &LongCandidate| view.engines[c.key].domain == *split.domain;
     let leads = || able.iter().copied().filter(can_lead);
-    let bearing = leads().filter(|c| bears(round, c, share.part_ms));
-    let silent = leads().filter(|c| !c.is_reading && c.silent_room_ms >= share.part_ms);
-    let lead = best_lead(bearing, is_local).or_else(|| best_lead(silent, is_local))?;
-    let mut left = share.broken_tokens;
-    let broken = broken_tokens(round, lead, share.part_ms);
-    if broken > left && round.options.check_pauses {
+    let fitting = leads().filter(|c| fits(view, c, split.part_ms));
+    let stall_safe = leads().filter(|c| !c.is_prefilling && c.stall_headroom_ms >= split.part_ms);
+    let lead = best_lead(fitting, is_local).or_else(|| best_lead(stall_safe, is_local))?;
+    let mut left = split.delayed_tokens;
+    let delayed = delayed_tokens(view, lead, split.part_ms);
+    if delayed > left && view.options.check_pauses {
         return None;
     }
-    left = left.saturating_sub(broken);
+    left = left.saturating_sub(delayed);
     let helpers = able.iter().copied().filter(|c| c.key != lead.key);
     let mut chosen = vec![lead];
-    chosen.extend(choose(round, &helpers.collect::<Vec<_>>(), share, left)?);
+    chosen.extend(choose_helpers(
+        view,
+        &helpers.collect::<Vec<_>>(),
+        split,
+        left,
+    )?);
     let start_ms = chosen.iter().map(|c| c.start_ms).fold(0.0, f64::max);
     let first_event_ms = chosen
         .iter()
-        .map(|c| c.start_ms + c.base_ms + share.part_ms * c.pace)
+        .map(|c| c.start_ms + c.base_ms + split.part_ms * c.pace_factor)
         .fold(0.0, f64::max);
     Some(LongPlan {
         engines: chosen.iter().map(|c| c.key).collect(),
-        part_ms: share.part_ms,
+        part_ms: split.part_ms,
         start_ms,
         first_event_ms,
         helper_memory_tokens,
-        broken_tokens: chosen
+        delayed_tokens: chosen
             .iter()
-            .map(|c| broken_tokens(round, c, share.part_ms))
+            .map(|c| delayed_tokens(view, c, split.part_ms))
             .sum(),
-        lead_writes_alone: lead.writers == 0,
+        lead_decodes_alone: lead.led_stream_count == 0,
     })
 }
 
-fn bears(round: &Round<'_>, candidate: &Candidate, part_ms: f64) -> bool {
-    !round.options.check_pauses || candidate.room_ms >= part_ms
+fn fits(view: &PoolView<'_>, candidate: &LongCandidate, part_ms: f64) -> bool {
+    !view.options.check_pauses || candidate.headroom_ms >= part_ms
 }
 
 /// The helpers that can begin soonest, those that make no stream late before the others.
-fn choose<'a>(
-    round: &Round<'_>,
-    helpers: &[&'a Candidate],
-    share: &Share<'_>,
-    mut broken_left: u64,
-) -> Option<Vec<&'a Candidate>> {
-    let count = share.count - 1;
-    let free = helpers.iter().filter(|c| bears(round, c, share.part_ms));
-    let mut chosen: Vec<&Candidate> = free.take(count).copied().collect();
+fn choose_helpers<'a>(
+    view: &PoolView<'_>,
+    helpers: &[&'a LongCandidate],
+    split: &Split<'_>,
+    mut delayed_tokens_left: u64,
+) -> Option<Vec<&'a LongCandidate>> {
+    let count = split.count - 1;
+    let free = helpers.iter().filter(|c| fits(view, c, split.part_ms));
+    let mut chosen: Vec<&LongCandidate> = free.take(count).copied().collect();
     if chosen.len() == count {
         return Some(chosen);
     }
-    if broken_left == 0 {
+    if delayed_tokens_left == 0 {
         return None;
     }
-    let mut others: Vec<(u64, &Candidate)> = helpers
+    let mut others: Vec<(u64, &LongCandidate)> = helpers
         .iter()
-        .filter(|c| c.room_ms < share.part_ms && !c.is_reading)
-        .filter(|c| c.silent_room_ms >= share.part_ms)
-        .map(|c| (broken_tokens(round, c, share.part_ms), *c))
+        .filter(|c| c.headroom_ms < split.part_ms && !c.is_prefilling)
+        .filter(|c| c.stall_headroom_ms >= split.part_ms)
+        .map(|c| (delayed_tokens(view, c, split.part_ms), *c))
         .collect();
-    others.sort_by_key(|(broken, _)| *broken);
-    for (broken, candidate) in others {
-        if chosen.len() == count || broken > broken_left {
+    others.sort_by_key(|(delayed, _)| *delayed);
+    for (delayed, candidate) in others {
+        if chosen.len() == count || delayed > delayed_tokens_left {
             break;
         }
-        broken_left -= broken;
+        delayed_tokens_left -= delayed;
         chosen.push(candidate);
     }
     (chosen.len() == count).then_some(chosen)
 }
 
 /// Prompt tokens of the streams that a part makes late.
-fn broken_tokens(round: &Round<'_>, candidate: &Candidate, part_ms: f64) -> u64 {
-    let engine = &round.engines[candidate.key];
-    engine.broken_tokens(engine.next_pass_ms(round.spec, part_ms))
+fn delayed_tokens(view: &PoolView<'_>, candidate: &LongCandidate, part_ms: f64) -> u64 {
+    let engine = &view.engines[candidate.key];
+    engine.delayed_tokens(engine.next_pass_ms(view.spec, part_ms))
 }
 
 /// The engine that should write the answer.
@@ -255,15 +274,15 @@
 /// shortest pauses first, and engines without streams stay free for the longest parts: a review
 /// that is written alone takes four times the engine's time that its prompt takes to read.
 fn best_lead<'a>(
-    able: impl Iterator<Item = &'a Candidate>,
-    is_local: impl Fn(&Candidate) -> bool,
-) -> Option<&'a Candidate> {
-    let rank = |c: &Candidate| {
+    able: impl Iterator<Item = &'a LongCandidate>,
+    is_local: impl Fn(&LongCandidate) -> bool,
+) -> Option<&'a LongCandidate> {
+    let rank = |c: &LongCandidate| {
         let is_late = c.start_ms > MAX_START_MS;
         (
             is_late,
-            c.writers == 0,
-            c.longest_pass_ms,
+            c.led_stream_count == 0,
+            c.max_pass_ms,
             c.start_ms + c.base_ms,
         )
     };
@@ -278,7 +297,7 @@
 }
 
 /// Names of a plan's helpers.
-pub(super) fn helper_names(engines: &SlotMap<EngineId, Engine>, plan: &LongPlan) -> Vec<HostName> {
+pub(super) fn helper_names(engines: &SlotMap<EngineKey, Engine>, plan: &LongPlan) -> Vec<HostName> {
     plan.engines[1..]
         .iter()
         .map(|key| engines[*key].name.clone())
--- a/crates/azuresaddle-sched/src/passes/mechanism.rs
+++ b/crates/azuresaddle-sched/src/passes/mechanism.rs
@@ -105,7 +105,7 @@
             Mechanism::EarlyRefusal => &mut self.refuse_early,
             Mechanism::CrowdRefusal => &mut self.refuse_crowded,
             Mechanism::LateShortWait => &mut self.late_short_wait,
-            Mechanism::ReadProtection => &mut self.protect_reads,
+            Mechanism::ReadProtection => &mut self.protect_prefills,
             Mechanism::PaceChecks => &mut self.check_pace,
             Mechanism::FairShares => &mut self.fair_shares,
             Mechanism::SuspectTurns => &mut self.suspects_in_turn,
--- a/crates/azuresaddle-sched/src/passes/options.rs
+++ b/crates/azuresaddle-sched/src/passes/options.rs
@@ -4,7 +4,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct PassOptions {
     /// Longest read that counts as short, in milliseconds.
-    pub short_read_ms: f64,
+    pub short_prefill_ms: f64,
     /// Pack short streams on few engines; spread them otherwise.
     pub pack_short: bool,
     /// Place parts only where every pause is kept.
@@ -22,7 +22,7 @@
     /// Refuse short prompts at once while so many wait that a new one would be late.
     pub refuse_crowded: bool,
     /// Keep parts from engines that are reading a prompt of their own.
-    pub protect_reads: bool,
+    pub protect_prefills: bool,
     /// Ask engines for their pace where first events are overdue.
     pub check_pace: bool,
     /// Give waiting prompts their turn by the shares of the client accounts.
@@ -39,7 +39,7 @@
     fn default() -> Self {
         Self {
             // Two short prompts of the usual length; what takes longer is better split.
-            short_read_ms: 60.0,
+            short_prefill_ms: 60.0,
             pack_short: true,
             check_pauses: true,
             split_long: true,
@@ -48,7 +48,7 @@
             break_pauses: true,
             refuse_early: true,
             refuse_crowded: true,
-            protect_reads: true,
+            protect_prefills: true,
             check_pace: true,
             fair_shares: true,
             late_short_wait: true,
--- a/crates/azuresaddle-sched/src/passes/pace.rs
+++ b/crates/azuresaddle-sched/src/passes/pace.rs
@@ -31,7 +31,7 @@
 pub(super) struct Pace {
     factor: f64,
     is_suspected: bool,
-    asked_at: Option<Instant>,
+    last_probe_at: Option<Instant>,
 }
 
 impl Default for Pace {
@@ -39,7 +39,7 @@
         Self {
             factor: 1.0,
             is_suspected: false,
-            asked_at: None,
+            last_probe_at: None,
         }
     }
 }
@@ -67,8 +67,10 @@
     }
 
     /// Whether the engine should be asked now.
-    pub(super) fn is_question_due(&self, now: Instant) -> bool {
-        let since = self.asked_at.map(|at| now.saturating_duration_since(at));
+    pub(super) fn is_probe_due(&self, now: Instant) -> bool {
+        let since = self
+            .last_probe_at
+            .map(|at| now.saturating_duration_since(at));
         match since {
             None => self.is_suspected || self.is_slow(),
             Some(since) => {
@@ -79,14 +81,14 @@
     }
 
     /// When the engine was last asked.
-    pub(super) fn asked_at(&self) -> Option<Instant> {
-        self.asked_at
+    pub(super) fn last_probe_at(&self) -> Option<Instant> {
+        self.last_probe_at
     }
 
     /// Notes that the engine is asked.
-    pub(super) fn on_question(&mut self, now: Instant) {
+    pub(super) fn on_probe(&mut self, now: Instant) {
         self.is_suspected = false;
-        self.asked_at = Some(now);
+        self.last_probe_at = Some(now);
     }
 }
 
--- a/crates/azuresaddle-sched/src/passes/pool/load.rs
+++ b/crates/azuresaddle-sched/src/passes/pool/load.rs
@@ -18,7 +18,7 @@
     /// Streams that run or wait for a slot.
     pub streams: usize,
     /// Reading that was begun or waits, over all engines.
-    pub reading: Duration,
+    pub prefill: Duration,
 }
 
 impl PoolLoad {
@@ -28,8 +28,8 @@
     }
 
     /// Reading for each engine, in milliseconds.
-    pub fn reading_ms_per_engine(&self) -> f64 {
-        self.reading.as_secs_f64() * 1000.0 / self.engines.max(1) as f64
+    pub fn prefill_ms_per_engine(&self) -> f64 {
+        self.prefill.as_secs_f64() * 1000.0 / self.engines.max(1) as f64
     }
 }
 
@@ -39,21 +39,21 @@
         let engines = self.open_engines(now);
         let waiting = self.queue.iter();
         let waiting_ms: f64 = waiting
-            .filter(|w| !self.is_short(w.read_ms))
-            .map(|w| w.read_ms)
+            .filter(|w| !self.is_short(w.prefill_ms))
+            .map(|w| w.prefill_ms)
             .sum();
         let begun = self.engines.values();
         let begun_ms: f64 = begun
             .map(|e| {
-                let read = e.reads_until.saturating_duration_since(now);
-                e.next_read_ms + read.as_secs_f64() * 1000.0
+                let prefill = e.prefill_until.saturating_duration_since(now);
+                e.queued_prefill_ms + prefill.as_secs_f64() * 1000.0
             })
             .sum();
         PoolLoad {
             slots: engines * self.spec.slots as usize,
             engines,
-            streams: self.runs.len() + self.queue.len(),
-            reading: Duration::from_secs_f64((waiting_ms + begun_ms) / 1000.0),
+            streams: self.placed_streams.len() + self.queue.len(),
+            prefill: Duration::from_secs_f64((waiting_ms + begun_ms) / 1000.0),
         }
     }
 }
--- a/crates/azuresaddle-sched/src/passes/pool/mod.rs
+++ b/crates/azuresaddle-sched/src/passes/pool/mod.rs
@@ -1,11 +1,11 @@
 //! A pool of engines: one queue, late binding, one ledger of streams.
 
-mod ledger;
 mod load;
+mod pace_probes;
 mod placement;
 mod rate_limits;
 mod refusals;
-mod slowness;
+mod streams;
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -16,26 +16,26 @@
 use tokio::time::Instant;
 
 pub use self::load::PoolLoad;
-use self::slowness::QuestionBudget;
-use super::ask::{AskId, PassAsk, PassDecision, PassOutcome};
-use super::backlog::Backlog;
-use super::engine::{Engine, EngineId};
+use self::pace_probes::ProbeBudget;
+use super::engine::{Engine, EngineKey};
+use super::long_load::LongLoad;
 use super::options::PassOptions;
 use super::queue::{Order, Queue, Waiting};
+use super::request::{PlacementDecision, PlacementId, PlacementRequest, StreamOutcome};
 use super::short_load::ShortLoad;
 use crate::fair_clock::FairClock;
 
 /// Shortest time between two rounds of placement while asks wait; a pass takes ten times that.
-const MIN_ROUND: Duration = Duration::from_millis(4);
+const MIN_DISPATCH_INTERVAL: Duration = Duration::from_millis(4);
 
 /// Longest time between two rounds while asks wait, in case an estimate is far off.
-const MAX_ROUND: Duration = Duration::from_millis(50);
+const MAX_DISPATCH_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Engines of a running stream.
 #[derive(Debug)]
-struct Run {
-    lead: EngineId,
-    helpers: Vec<EngineId>,
+struct PlacedStream {
+    lead: EngineKey,
+    helpers: Vec<EngineKey>,
     /// When the first event counts as overdue; `None` once it has come or was found overdue.
     overdue_at: Option<Instant>,
     /// The request, where a target had ended while it had it.
@@ -47,24 +47,24 @@
 pub struct PassPool {
     options: PassOptions,
     spec: EngineSpec,
-    engines: SlotMap<EngineId, Engine>,
-    names: HashMap<HostName, EngineId>,
+    engines: SlotMap<EngineKey, Engine>,
+    names: HashMap<HostName, EngineKey>,
     queue: Queue,
-    backlog: Backlog,
+    long_load: LongLoad,
     short_load: ShortLoad,
     /// Since when a crowd of short prompts has waited; `None` where none does.
     crowd_since: Option<Instant>,
     /// Turns of the client accounts among short and among long prompts.
     fair: [FairClock; 2],
-    runs: HashMap<AskId, Run>,
-    decisions: Vec<(AskId, PassDecision)>,
+    placed_streams: HashMap<PlacementId, PlacedStream>,
+    decisions: Vec<(PlacementId, PlacementDecision)>,
     /// When all waiting asks are looked at again.
-    next_refusals: Instant,
+    next_refusal_check: Instant,
     /// When all running streams are looked at again for overdue first events.
-    next_look: Instant,
-    questions: QuestionBudget,
+    next_overdue_check: Instant,
+    probes: ProbeBudget,
     /// Whether this node places for all; only then may it use engines that limit their rate.
-    is_placing: bool,
+    is_owner: bool,
 }
 
 impl PassPool {
@@ -76,16 +76,16 @@
             engines: SlotMap::with_key(),
             names: HashMap::new(),
             queue: Queue::default(),
-            backlog: Backlog::default(),
+            long_load: LongLoad::default(),
             short_load: ShortLoad::default(),
             crowd_since: None,
             fair: Default::default(),
-            runs: HashMap::new(),
+            placed_streams: HashMap::new(),
             decisions: Vec::new(),
-            next_refusals: Instant::now(),
-            next_look: Instant::now(),
-            questions: QuestionBudget::new(Instant::now()),
-            is_placing: true,
+            next_refusal_check: Instant::now(),
+            next_overdue_check: Instant::now(),
+            probes: ProbeBudget::new(Instant::now()),
+            is_owner: true,
         }
     }
 
@@ -156,30 +156,36 @@
     }
 
     /// Takes an ask; a decision about it follows. A repeated one is ignored.
-    pub fn enqueue(&mut self, now: Instant, ask: PassAsk) {
-        if self.queue.contains(ask.id) || self.runs.contains_key(&ask.id) {
+    pub fn enqueue(&mut self, now: Instant, request: PlacementRequest) {
+        if self.queue.contains(request.id) || self.placed_streams.contains_key(&request.id) {
             return;
         }
-        let read_ms = self.spec.prefill_ms(ask.prompt_tokens);
+        let prefill_ms = self.spec.prefill_ms(request.prompt_tokens);
         let before = self.queue.len();
-        let hopeless = self.hopeless(now, &ask, read_ms, self.ahead_ms(read_ms), before);
-        let refused = hopeless
-            .or_else(|| self.is_flooding(now, &ask))
-            .or_else(|| self.is_crowded(now, &ask, read_ms));
+        let unservable = self.unservable_retry_after(
+            now,
+            &request,
+            prefill_ms,
+            self.prefill_ahead_ms(prefill_ms),
+            before,
+        );
+        let refused = unservable
+            .or_else(|| self.flood_retry_after(now, &request))
+            .or_else(|| self.crowd_retry_after(now, &request, prefill_ms));
         if let Some(retry_after) = refused {
-            let refused = PassDecision::Refused { retry_after };
-            self.decisions.push((ask.id, refused));
+            let refused = PlacementDecision::Refused { retry_after };
+            self.decisions.push((request.id, refused));
             return;
         }
-        if !self.is_short(read_ms) {
-            self.backlog.on_arrival(now, read_ms);
+        if !self.is_short(prefill_ms) {
+            self.long_load.on_arrival(now, prefill_ms);
         }
-        let order = self.order_of(&ask, read_ms);
-        let clock = &mut self.fair[usize::from(!self.is_short(read_ms))];
-        let turn = clock.tag(&ask.account, read_ms / 1000.0, 1.0);
+        let order = self.order_of(&request, prefill_ms);
+        let clock = &mut self.fair[usize::from(!self.is_short(prefill_ms))];
+        let turn = clock.tag(&request.account, prefill_ms / 1000.0, 1.0);
         self.queue.push(Waiting {
-            ask,
-            read_ms,
+            request,
+            prefill_ms,
             order,
             turn,
             asked_at: now,
@@ -187,12 +193,12 @@
     }
 
     /// The place that an ask would get in the queue now.
-    fn order_of(&self, ask: &PassAsk, read_ms: f64) -> Order {
-        let is_long = !self.is_short(read_ms);
+    fn order_of(&self, request: &PlacementRequest, prefill_ms: f64) -> Order {
+        let is_long = !self.is_short(prefill_ms);
         let key = if is_long && self.options.shortest_first {
-            read_ms
+            prefill_ms
         } else if self.options.fair_shares {
-            self.fair[usize::from(is_long)].next_turn(&ask.account)
+            self.fair[usize::from(is_long)].next_turn(&request.account)
         } else {
             0.0
         };
@@ -200,51 +206,53 @@
     }
 
     /// Withdraws an ask or ends its stream.
-    pub fn end(&mut self, now: Instant, id: AskId, outcome: &PassOutcome) {
+    pub fn end(&mut self, now: Instant, id: PlacementId, outcome: &StreamOutcome) {
         self.queue.remove(id);
         match outcome {
-            PassOutcome::TargetRefused(name) | PassOutcome::TargetFailed(name) => {
+            StreamOutcome::TargetRefused(name) | StreamOutcome::TargetFailed(name) => {
                 self.note_failure(now, name);
             }
-            PassOutcome::TargetBacksOff { target, time } => {
+            StreamOutcome::TargetBacksOff { target, time } => {
                 if let Some(key) = self.names.get(target) {
                     self.engines[*key].breaker.on_back_off(now, *time);
                 }
             }
-            PassOutcome::Done => {
-                let lead = self.runs.get(&id).map(|run| run.lead);
+            StreamOutcome::Done => {
+                let lead = self.placed_streams.get(&id).map(|stream| stream.lead);
                 if let Some(engine) = lead.and_then(|key| self.engines.get_mut(key)) {
                     engine.breaker.on_success();
                     engine.on_whole_answer(now, id);
                 }
             }
-            PassOutcome::Cancelled => {}
+            StreamOutcome::Cancelled => {}
         }
-        self.release(id);
+        self.remove_stream(id);
     }
 
     /// Notes the first event of a stream: all parts of its prompt are read.
-    pub fn on_first_event(&mut self, now: Instant, id: AskId) {
-        let Some(run) = self.runs.get_mut(&id) else {
+    pub fn on_first_event(&mut self, now: Instant, id: PlacementId) {
+        let Some(stream) = self.placed_streams.get_mut(&id) else {
             return;
         };
-        run.overdue_at = None;
-        if let Some(engine) = self.engines.get_mut(run.lead) {
-            engine.end_adopted_read(now, id);
+        stream.overdue_at = None;
+        if let Some(engine) = self.engines.get_mut(stream.lead) {
+            engine.end_inherited_prefill(now, id);
             engine.advance(now, &self.spec);
-            if let Some(lead) = engine.leads.iter_mut().find(|l| l.id == id) {
-                lead.is_writing = true;
+            if let Some(lead) = engine.led_streams.iter_mut().find(|l| l.id == id) {
+                lead.is_decoding = true;
             }
         }
-        for key in &run.helpers {
+        for key in &stream.helpers {
             let Some(engine) = self.engines.get_mut(*key) else {
                 continue;
             };
-            engine.end_adopted_read(now, id);
-            for help in engine.helps.iter_mut().filter(|h| h.id == id) {
-                help.is_read = true;
+            engine.end_inherited_prefill(now, id);
+            for help in engine.helper_parts.iter_mut().filter(|h| h.id == id) {
+                help.is_prefilled = true;
             }
-            engine.helps.retain(|h| !h.is_read || h.memory_tokens > 0);
+            engine
+                .helper_parts
+                .retain(|h| !h.is_prefilled || h.memory_tokens > 0);
         }
     }
 
@@ -260,16 +268,16 @@
         for engine in self.engines.values_mut() {
             engine.advance(now, &self.spec);
         }
-        self.refuse_overdue(now);
+        self.refuse_unservable(now);
         self.place_short(now, true);
         self.place_long(now, true);
         self.place_short(now, false);
         self.place_long(now, false);
-        self.note_crowd(now);
+        self.update_crowd(now);
     }
 
     /// Decisions since the last call.
-    pub fn take_decisions(&mut self) -> Vec<(AskId, PassDecision)> {
+    pub fn take_decisions(&mut self) -> Vec<(PlacementId, PlacementDecision)> {
         std::mem::take(&mut self.decisions)
     }
 
@@ -278,10 +286,10 @@
         if self.queue.is_empty() {
             return None;
         }
-        let ends = self.engines.values().map(|e| e.pass_ends);
+        let ends = self.engines.values().map(|e| e.pass_ends_at);
         let next = ends.filter(|at| *at > now).min();
-        let at = next.unwrap_or(now + MAX_ROUND);
-        Some(at.clamp(now + MIN_ROUND, now + MAX_ROUND))
+        let at = next.unwrap_or(now + MAX_DISPATCH_INTERVAL);
+        Some(at.clamp(now + MIN_DISPATCH_INTERVAL, now + MAX_DISPATCH_INTERVAL))
     }
 
     /// Number of waiting asks.
@@ -291,10 +299,10 @@
 
     /// Number of running streams.
     pub fn running(&self) -> usize {
-        self.runs.len()
+        self.placed_streams.len()
     }
 
-    fn is_short(&self, read_ms: f64) -> bool {
-        read_ms <= self.options.short_read_ms
+    fn is_short(&self, prefill_ms: f64) -> bool {
+        prefill_ms <= self.options.short_prefill_ms
     }
 }
--- a/crates/azuresaddle-sched/src/passes/pool/placement.rs
+++ b/crates/azuresaddle-sched/src/passes/pool/placement.rs
@@ -5,54 +5,54 @@
 use tokio::time::Instant;
 
 use super::PassPool;
-use super::ledger::Parts;
-use crate::passes::ask::{AskId, PassAsk, PassDecision, PassGrant};
-use crate::passes::candidates::Candidates;
+use super::streams::StreamRecord;
+use crate::passes::long_candidates::LongCandidates;
 use crate::passes::long_plan::{LongPlan, helper_names, plan_long};
 use crate::passes::pace::overdue_at;
+use crate::passes::pool_view::PoolView;
 use crate::passes::queue::Waiting;
-use crate::passes::round::Round;
-use crate::passes::short_plan::{ShortCandidates, ShortNeed, ShortPlan};
+use crate::passes::request::{PlacementDecision, PlacementGrant, PlacementId, PlacementRequest};
+use crate::passes::short_plan::{ShortCandidates, ShortPlan, ShortRequirement};
 
 /// Most long prompts that are tried in one round; the ones behind them wait for these.
 const MAX_TRIED: usize = 16;
 
 /// Most long prompts that are looked at in one round, so that its cost does not grow with the queue.
-const MAX_LOOKED_AT: usize = 128;
+const MAX_EXAMINED: usize = 128;
 
 /// Part of the time left that a long prompt has waited before others may be made late for it.
-const BREAK_AFTER: f64 = 0.15;
+const DELAY_OTHERS_AFTER: f64 = 0.15;
 
 /// Most prompt tokens of streams made late, as a part of the long prompt's own tokens: the worth of
 /// an answer is not stated, so the work that its caller asks for stands for it.
-const BROKEN_SHARE: f64 = 0.2;
+const DELAYED_TOKENS_SHARE: f64 = 0.2;
 
 /// Time before its caller gives up from which a late short prompt takes any engine.
-const SHORT_LAST_CHANCE: Duration = Duration::from_millis(600);
+const SHORT_GIVE_UP_MARGIN: Duration = Duration::from_millis(600);
 
 impl PassPool {
-    fn need_of(&self, now: Instant, ask: &PassAsk) -> ShortNeed {
-        if ask.first_event_by > now {
-            ShortNeed::OnTime
-        } else if self.options.late_short_wait && ask.give_up_at > now + SHORT_LAST_CHANCE {
-            ShortNeed::Pauses
+    fn requirement_for(&self, now: Instant, request: &PlacementRequest) -> ShortRequirement {
+        if request.first_event_by > now {
+            ShortRequirement::OnTime
+        } else if self.options.late_short_wait && request.give_up_at > now + SHORT_GIVE_UP_MARGIN {
+            ShortRequirement::KeepPauses
         } else {
-            ShortNeed::Nothing
+            ShortRequirement::Nothing
         }
     }
 
     /// Whether another copy of the same suspect runs: how that one ends is known before the next is sent to an
     /// engine. Copies that come within half a second would end as many engines.
-    fn awaits_verdict(&self, ask: &PassAsk) -> bool {
-        let Some(suspect) = ask.suspect.filter(|_| self.options.suspects_in_turn) else {
+    fn must_wait_for_copy(&self, request: &PlacementRequest) -> bool {
+        let Some(suspect) = request.suspect.filter(|_| self.options.suspects_in_turn) else {
             return false;
         };
-        let mut runs = self.runs.values();
-        runs.any(|run| run.suspect == Some(suspect.request))
+        let mut placed = self.placed_streams.values();
+        placed.any(|stream| stream.suspect == Some(suspect.fingerprint))
     }
 
-    pub(super) fn round(&self, now: Instant) -> Round<'_> {
-        Round {
+    pub(super) fn view(&self, now: Instant) -> PoolView<'_> {
+        PoolView {
             now,
             spec: &self.spec,
             engines: &self.engines,
@@ -64,24 +64,24 @@
     ///
     /// A late one waits for a place where it makes no other late, until its caller is about to give up.
     pub(super) fn place_short(&mut self, now: Instant, on_time: bool) {
-        let due: Vec<AskId> = self
+        let due: Vec<PlacementId> = self
             .queue
             .iter()
-            .take_while(|w| self.is_short(w.read_ms))
-            .filter(|w| on_time == (w.ask.first_event_by > now))
-            .filter(|w| !self.awaits_verdict(&w.ask))
-            .map(|w| w.ask.id)
+            .take_while(|w| self.is_short(w.prefill_ms))
+            .filter(|w| on_time == (w.request.first_event_by > now))
+            .filter(|w| !self.must_wait_for_copy(&w.request))
+            .map(|w| w.request.id)
             .collect();
         if due.is_empty() {
             return;
         }
-        let mut candidates = ShortCandidates::new(&self.round(now));
+        let mut candidates = ShortCandidates::new(&self.view(now));
         for id in due {
             // One that was placed in this round may be the same request.
             if self
                 .queue
                 .get(id)
-                .is_some_and(|w| self.awaits_verdict(&w.ask))
+                .is_some_and(|w| self.must_wait_for_copy(&w.request))
             {
                 continue;
             }
@@ -94,15 +94,15 @@
             let engine = plan.engine;
             let plan = LongPlan {
                 engines: vec![engine],
-                part_ms: waiting.read_ms,
+                part_ms: waiting.prefill_ms,
                 start_ms: 0.0,
                 first_event_ms: plan.first_event_ms,
                 helper_memory_tokens: 0,
-                broken_tokens: 0,
-                lead_writes_alone: false,
+                delayed_tokens: 0,
+                lead_decodes_alone: false,
             };
             self.start(now, waiting, &plan);
-            candidates.refresh(&self.round(now), engine);
+            candidates.refresh(&self.view(now), engine);
         }
     }
 
@@ -110,15 +110,15 @@
         &self,
         now: Instant,
         candidates: &ShortCandidates,
-        id: AskId,
+        id: PlacementId,
     ) -> Option<ShortPlan> {
         let waiting = self.queue.get(id)?;
-        let ask = &waiting.ask;
+        let request = &waiting.request;
         candidates.plan(
-            &self.round(now),
-            ask,
-            waiting.read_ms,
-            self.need_of(now, ask),
+            &self.view(now),
+            request,
+            waiting.prefill_ms,
+            self.requirement_for(now, request),
         )
     }
 
@@ -129,18 +129,18 @@
         }
         let open = self.open_engines(now);
         loop {
-            let round = self.round(now);
-            let candidates = Candidates::new(&round);
+            let view = self.view(now);
+            let candidates = LongCandidates::new(&view);
             let found = self
                 .queue
                 .iter_long()
-                .take(MAX_LOOKED_AT)
-                .filter(|w| on_time == (w.ask.first_event_by > now))
-                .filter(|w| !self.awaits_verdict(&w.ask))
+                .take(MAX_EXAMINED)
+                .filter(|w| on_time == (w.request.first_event_by > now))
+                .filter(|w| !self.must_wait_for_copy(&w.request))
                 .take(MAX_TRIED)
                 .find_map(|w| {
-                    let plan = self.plan_for(&round, &candidates, w, open)?;
-                    Some((w.ask.id, plan))
+                    let plan = self.plan_for(&view, &candidates, w, open)?;
+                    Some((w.request.id, plan))
                 });
             let Some((id, plan)) = found else {
                 return;
@@ -155,66 +155,72 @@
     /// A plan for a long prompt that is worth to begin now.
     pub(super) fn plan_for(
         &self,
-        round: &Round<'_>,
-        candidates: &Candidates,
+        view: &PoolView<'_>,
+        candidates: &LongCandidates,
         waiting: &Waiting,
         open: usize,
     ) -> Option<LongPlan> {
-        let Waiting { ask, read_ms, .. } = waiting;
-        let now = round.now;
-        let plan = plan_long(round, candidates, ask, *read_ms, 0);
-        let is_due = |p: &LongPlan| !self.options.wait_for_engines || p.is_due(now, ask, open);
-        let plan = plan.filter(is_due);
-        if plan.as_ref().is_some_and(|p| p.is_on_time(now, ask)) || !self.options.break_pauses {
+        let Waiting {
+            request,
+            prefill_ms,
+            ..
+        } = waiting;
+        let now = view.now;
+        let plan = plan_long(view, candidates, request, *prefill_ms, 0);
+        let should_start =
+            |p: &LongPlan| !self.options.wait_for_engines || p.should_start(now, request, open);
+        let plan = plan.filter(should_start);
+        if plan.as_ref().is_some_and(|p| p.is_on_time(now, request)) || !self.options.break_pauses {
             return plan;
         }
         let waited = now.saturating_duration_since(waiting.asked_at);
-        let left = ask.first_event_by.saturating_duration_since(now);
-        if left.is_zero() || waited < left.mul_f64(BREAK_AFTER) {
+        let left = request.first_event_by.saturating_duration_since(now);
+        if left.is_zero() || waited < left.mul_f64(DELAY_OTHERS_AFTER) {
             return plan;
         }
-        let broken = (ask.prompt_tokens as f64 * BROKEN_SHARE) as u64;
-        let lenient = plan_long(round, candidates, ask, *read_ms, broken);
+        let delayed = (request.prompt_tokens as f64 * DELAYED_TOKENS_SHARE) as u64;
+        let lenient = plan_long(view, candidates, request, *prefill_ms, delayed);
         lenient
-            .filter(|p| p.is_on_time(now, ask) && is_due(p))
+            .filter(|p| p.is_on_time(now, request) && should_start(p))
             .or(plan)
     }
 
     pub(super) fn start(&mut self, now: Instant, waiting: Waiting, plan: &LongPlan) {
-        let is_long = !self.is_short(waiting.read_ms);
+        let is_long = !self.is_short(waiting.prefill_ms);
         if !is_long {
             self.short_load.on_start(now);
         }
         self.fair[usize::from(is_long)].on_dispatch(waiting.turn);
-        let ask = waiting.ask;
-        let grant = PassGrant {
+        let request = waiting.request;
+        let grant = PlacementGrant {
             lead: self.engines[plan.engines[0]].name.clone(),
             helpers: helper_names(&self.engines, plan),
             helper_memory_tokens: plan.helper_memory_tokens,
             first_event_in: Duration::from_secs_f64(plan.first_event_ms / 1000.0),
         };
-        let parts = Parts {
-            id: ask.id,
-            prompt_tokens: ask.prompt_tokens,
-            answer_tokens: ask.answer_tokens,
-            pause: ask.pause,
+        let record = StreamRecord {
+            id: request.id,
+            prompt_tokens: request.prompt_tokens,
+            answer_tokens: request.answer_tokens,
+            pause: request.pause,
             helper_memory_tokens: plan.helper_memory_tokens,
             overdue_at: Some(overdue_at(now, grant.first_event_in)),
-            suspect: ask.suspect,
+            suspect: request.suspect,
         };
         for key in &plan.engines {
             let engine = &mut self.engines[*key];
-            engine.take_token(now);
+            engine.take_rate_token(now);
             engine.on_pass_planned(engine.next_pass_ms(&self.spec, plan.part_ms));
         }
-        self.hold(&parts, plan.engines[0], plan.engines[1..].to_vec());
+        self.add_stream(&record, plan.engines[0], plan.engines[1..].to_vec());
         let first_event = now + grant.first_event_in;
-        if let Some(lead) = self.engines[plan.engines[0]].leads.last_mut() {
-            lead.is_late = first_event > ask.first_event_by;
+        if let Some(lead) = self.engines[plan.engines[0]].led_streams.last_mut() {
+            lead.is_late = first_event > request.first_event_by;
         }
         for key in &plan.engines {
-            self.engines[*key].add_read(now, &self.spec, plan.part_ms);
+            self.engines[*key].add_prefill(now, &self.spec, plan.part_ms);
         }
-        self.decisions.push((ask.id, PassDecision::Granted(grant)));
+        self.decisions
+            .push((request.id, PlacementDecision::Granted(grant)));
     }
 }
--- a/crates/azuresaddle-sched/src/passes/pool/rate_limits.rs
+++ b/crates/azuresaddle-sched/src/passes/pool/rate_limits.rs
@@ -27,17 +27,17 @@
             };
             let rate = engine.rate.get_or_insert(RateBucket::new(now, *limit));
             rate.set_limit(now, *limit);
-            if !self.is_placing {
+            if !self.is_owner {
                 rate.suspend();
             }
         }
     }
 
     /// Notes whether this node places for all.
-    pub fn set_placing(&mut self, now: Instant, is_placing: bool) {
-        self.is_placing = is_placing;
+    pub fn set_owner(&mut self, now: Instant, is_owner: bool) {
+        self.is_owner = is_owner;
         for rate in self.engines.values_mut().filter_map(|e| e.rate.as_mut()) {
-            if is_placing {
+            if is_owner {
                 rate.resume(now);
             } else {
                 rate.suspend();
@@ -48,11 +48,14 @@
     /// Expected time until an ask behind `before` others gets its turn at engines that limit their rate; `None` where
     /// no such engine takes work.
     pub(super) fn rate_limited_wait(&self, now: Instant, before: usize) -> Option<Duration> {
-        if !self.is_placing {
+        if !self.is_owner {
             return None;
         }
-        let sound = self.engines.values().filter(|e| e.is_sound(now));
-        let rates: Vec<RateBucket> = sound.filter_map(|e| e.rate).collect();
+        let available = self
+            .engines
+            .values()
+            .filter(|e| e.accepts_work_ignoring_rate_limit(now));
+        let rates: Vec<RateBucket> = available.filter_map(|e| e.rate).collect();
         let next = rates.iter().map(|r| r.next_token_in(now)).min()?;
         let together: f64 = rates.iter().map(RateBucket::rate).sum();
         Some(next + Duration::from_secs_f64(before as f64 / together))
--- a/crates/azuresaddle-sched/src/passes/pool/refusals.rs
+++ b/crates/azuresaddle-sched/src/passes/pool/refusals.rs
@@ -5,9 +5,9 @@
 use tokio::time::Instant;
 
 use super::PassPool;
-use crate::passes::ask::{PassAsk, PassDecision};
-use crate::passes::long_plan::MAX_MEMBERS;
+use crate::passes::long_plan::MAX_ENGINES_PER_PROMPT;
 use crate::passes::queue::{Order, Waiting};
+use crate::passes::request::{PlacementDecision, PlacementRequest};
 
 /// Time between two looks at all waiting asks; a tenth of the time that a short one can wait.
 const REFUSAL_INTERVAL: Duration = Duration::from_millis(30);
@@ -50,11 +50,15 @@
     ///
     /// Answers the pattern of an account that asks several times what the engines can do: its turn
     /// comes last, but its late asks would still fill every engine.
-    pub(super) fn is_flooding(&self, now: Instant, ask: &PassAsk) -> Option<Duration> {
+    pub(super) fn flood_retry_after(
+        &self,
+        now: Instant,
+        request: &PlacementRequest,
+    ) -> Option<Duration> {
         if !self.options.fair_shares {
             return None;
         }
-        let waiting = self.queue.of_account(&ask.account)?;
+        let waiting = self.queue.account_queue(&request.account)?;
         let slots = self.engines.len() * self.spec.slots as usize;
         let most = (slots as f64 * ACCOUNT_WAITING_SHARE) as usize;
         let floods = waiting.count >= most.max(MIN_ACCOUNT_WAITING)
@@ -66,64 +70,70 @@
     /// When to come back, where so many short prompts wait that a new one would be late.
     ///
     /// Only those whose turn comes before its own count, so an account that floods crowds out nobody else.
-    pub(super) fn is_crowded(&self, now: Instant, ask: &PassAsk, read_ms: f64) -> Option<Duration> {
-        if !self.options.refuse_crowded || !self.is_short(read_ms) {
+    pub(super) fn crowd_retry_after(
+        &self,
+        now: Instant,
+        request: &PlacementRequest,
+        prefill_ms: f64,
+    ) -> Option<Duration> {
+        if !self.options.refuse_crowded || !self.is_short(prefill_ms) {
             return None;
         }
-        let ahead = self.queue.count_before(self.order_of(ask, read_ms));
-        if ahead < MIN_CROWD || !self.crowd_lasts(now) {
+        let ahead = self.queue.count_before(self.order_of(request, prefill_ms));
+        if ahead < MIN_CROWD || !self.crowd_persists(now) {
             return None;
         }
         let open = self.open_engines(now);
         let wait = self.short_load.expected_wait(now, ahead, open.max(1));
-        let left = ask.first_event_by.saturating_duration_since(now);
+        let left = request.first_event_by.saturating_duration_since(now);
         (wait > left.mul_f64(CROWD_WAIT_SHARE).max(MIN_CROWD_WAIT)).then_some(CROWD_RETRY_AFTER)
     }
 
     /// Notes whether a crowd waits now.
-    pub(super) fn note_crowd(&mut self, now: Instant) {
+    pub(super) fn update_crowd(&mut self, now: Instant) {
         let is_crowd = self.queue.count_before(Order::new(true, 0.0)) >= MIN_CROWD;
         self.crowd_since = is_crowd.then(|| self.crowd_since.unwrap_or(now));
     }
 
     /// Whether a crowd has waited long enough to be more than callers that return together.
-    fn crowd_lasts(&self, now: Instant) -> bool {
+    fn crowd_persists(&self, now: Instant) -> bool {
         let since = self.crowd_since;
         since.is_some_and(|since| now.saturating_duration_since(since) >= FLOOD_AGE)
     }
 
     /// When to come back, where a short prompt has become late while enough others can still be on
     /// time.
-    fn is_crowded_out(&self, now: Instant, waiting: &Waiting) -> Option<Duration> {
-        let is_late = waiting.ask.first_event_by <= now;
-        let is_crowd = self.queue.count_before(waiting.order) >= MIN_CROWD && self.crowd_lasts(now);
-        let applies = self.options.refuse_crowded && self.is_short(waiting.read_ms);
+    fn late_in_crowd_retry_after(&self, now: Instant, waiting: &Waiting) -> Option<Duration> {
+        let is_late = waiting.request.first_event_by <= now;
+        let is_crowd =
+            self.queue.count_before(waiting.order) >= MIN_CROWD && self.crowd_persists(now);
+        let applies = self.options.refuse_crowded && self.is_short(waiting.prefill_ms);
         (applies && is_late && is_crowd).then_some(CROWD_RETRY_AFTER)
     }
 
     /// When to come back, where the request can't be served in its time; `before` asks get their turn first.
-    pub(super) fn hopeless(
+    pub(super) fn unservable_retry_after(
         &self,
         now: Instant,
-        ask: &PassAsk,
-        read_ms: f64,
-        ahead_ms: f64,
+        request: &PlacementRequest,
+        prefill_ms: f64,
+        prefill_ahead_ms: f64,
         before: usize,
     ) -> Option<Duration> {
         let open = self.open_engines(now);
         if open == 0 {
-            return self.limited_wait(now, ask, before);
+            return self.no_engine_retry_after(now, request, before);
         }
         // The engines' interface lets a prompt lie on so many engines at most.
-        let members = self.engines.len().min(MAX_MEMBERS) as u64;
-        let memory = ask.prompt_tokens + ask.answer_tokens;
-        if memory > members * self.spec.memory_tokens {
+        let most_engines = self.engines.len().min(MAX_ENGINES_PER_PROMPT) as u64;
+        let memory = request.prompt_tokens + request.answer_tokens;
+        if memory > most_engines * self.spec.memory_tokens {
             return Some(MAX_RETRY_AFTER);
         }
-        let wait = self.expected_wait(now, read_ms, ahead_ms, open);
-        let least = self.least_time(read_ms, open);
+        let wait = self.expected_wait(now, prefill_ms, prefill_ahead_ms, open);
+        let least = self.min_prefill_time(prefill_ms, open);
         let comes_at = now + wait + least;
-        if comes_at <= ask.give_up_at && comes_at + ask.writing_time() <= ask.deadline {
+        if comes_at <= request.give_up_at && comes_at + request.decode_time() <= request.deadline {
             return None;
         }
         Some(wait.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER))
@@ -131,81 +141,102 @@
 
     /// When to come back, where no engine takes anything now; `None` where the ask gets its turn in time at engines
     /// that limit their rate.
-    fn limited_wait(&self, now: Instant, ask: &PassAsk, before: usize) -> Option<Duration> {
+    fn no_engine_retry_after(
+        &self,
+        now: Instant,
+        request: &PlacementRequest,
+        before: usize,
+    ) -> Option<Duration> {
         let Some(wait) = self.rate_limited_wait(now, before) else {
             return Some(MIN_RETRY_AFTER);
         };
-        let is_late = ask.first_event_by <= now;
+        let is_late = request.first_event_by <= now;
         let latest = if is_late {
-            ask.give_up_at
+            request.give_up_at
         } else {
-            ask.first_event_by
+            request.first_event_by
         };
         (now + wait > latest).then(|| wait.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER))
     }
 
     pub(super) fn open_engines(&self, now: Instant) -> usize {
-        self.engines.values().filter(|e| e.is_open(now)).count()
+        self.engines
+            .values()
+            .filter(|e| e.accepts_work(now))
+            .count()
     }
 
     /// Time to read a prompt with all engines that may take part.
-    pub(super) fn least_time(&self, read_ms: f64, open: usize) -> Duration {
-        let split = if self.is_short(read_ms) {
+    pub(super) fn min_prefill_time(&self, prefill_ms: f64, open: usize) -> Duration {
+        let split = if self.is_short(prefill_ms) {
             1
         } else {
-            open.clamp(1, MAX_MEMBERS)
+            open.clamp(1, MAX_ENGINES_PER_PROMPT)
         };
-        Duration::from_secs_f64(read_ms / split as f64 / 1000.0)
+        Duration::from_secs_f64(prefill_ms / split as f64 / 1000.0)
     }
 
     /// Expected time until a long prompt begins, from the reading that waits and finds room sooner
     /// and from the load of late; short ones are not expected to wait.
-    fn expected_wait(&self, now: Instant, read_ms: f64, ahead_ms: f64, open: usize) -> Duration {
-        if self.is_short(read_ms) || !self.options.refuse_early {
+    fn expected_wait(
+        &self,
+        now: Instant,
+        prefill_ms: f64,
+        prefill_ahead_ms: f64,
+        open: usize,
+    ) -> Duration {
+        if self.is_short(prefill_ms) || !self.options.refuse_early {
             return Duration::ZERO;
         }
-        let share = self.backlog.free_share(now, read_ms, open);
-        let wait_ms = (ahead_ms + read_ms) / (open as f64 * share) - read_ms / open as f64;
+        let share = self.long_load.free_share(now, prefill_ms, open);
+        let wait_ms =
+            (prefill_ahead_ms + prefill_ms) / (open as f64 * share) - prefill_ms / open as f64;
         Duration::from_secs_f64(wait_ms.max(0.0) / 1000.0)
     }
 
     /// Reading that waits and finds room sooner than a long prompt, in milliseconds; short ones are
     /// not expected to wait.
-    pub(super) fn ahead_ms(&self, read_ms: f64) -> f64 {
-        if self.is_short(read_ms) {
+    pub(super) fn prefill_ahead_ms(&self, prefill_ms: f64) -> f64 {
+        if self.is_short(prefill_ms) {
             return 0.0;
         }
-        let waiting = self.queue.iter().map(|w| w.read_ms);
+        let waiting = self.queue.iter().map(|w| w.prefill_ms);
         waiting
-            .filter(|ms| *ms < read_ms && !self.is_short(*ms))
+            .filter(|ms| *ms < prefill_ms && !self.is_short(*ms))
             .sum()
     }
 
     /// Refuses every ask that can't be answered in its time any more; looks at all of them, so not
     /// in every round.
-    pub(super) fn refuse_overdue(&mut self, now: Instant) {
-        if now < self.next_refusals {
+    pub(super) fn refuse_unservable(&mut self, now: Instant) {
+        if now < self.next_refusal_check {
             return;
         }
-        self.next_refusals = now + REFUSAL_INTERVAL;
-        let mut by_read: Vec<&Waiting> = self.queue.iter().collect();
-        by_read.sort_by(|a, b| a.read_ms.total_cmp(&b.read_ms));
-        let mut ahead_ms = 0.0;
-        let mut overdue = Vec::new();
-        for waiting in by_read {
-            let hopeless = self
-                .hopeless(now, &waiting.ask, waiting.read_ms, ahead_ms, 0)
-                .or_else(|| self.is_crowded_out(now, waiting));
-            match hopeless {
-                Some(retry_after) => overdue.push((waiting.ask.id, retry_after)),
-                None if self.is_short(waiting.read_ms) => {}
-                None => ahead_ms += waiting.read_ms,
+        self.next_refusal_check = now + REFUSAL_INTERVAL;
+        let mut by_prefill: Vec<&Waiting> = self.queue.iter().collect();
+        by_prefill.sort_by(|a, b| a.prefill_ms.total_cmp(&b.prefill_ms));
+        let mut prefill_ahead_ms = 0.0;
+        let mut refused = Vec::new();
+        for waiting in by_prefill {
+            let refusal = self
+                .unservable_retry_after(
+                    now,
+                    &waiting.request,
+                    waiting.prefill_ms,
+                    prefill_ahead_ms,
+                    0,
+                )
+                .or_else(|| self.late_in_crowd_retry_after(now, waiting));
+            match refusal {
+                Some(retry_after) => refused.push((waiting.request.id, retry_after)),
+                None if self.is_short(waiting.prefill_ms) => {}
+                None => prefill_ahead_ms += waiting.prefill_ms,
             }
         }
-        for (id, retry_after) in overdue {
+        for (id, retry_after) in refused {
             self.queue.remove(id);
             self.decisions
-                .push((id, PassDecision::Refused { retry_after }));
+                .push((id, PlacementDecision::Refused { retry_after }));
         }
     }
 }
--- a/crates/azuresaddle-sched/src/passes/pool/ledger.rs
+++ b/crates/azuresaddle-sched/src/passes/pool/streams.rs
@@ -5,14 +5,14 @@
 use azuresaddle_core::prelude::*;
 use tokio::time::Instant;
 
-use super::{PassPool, Run};
-use crate::passes::ask::{AskId, RunningStream, Suspect};
-use crate::passes::engine::{EngineId, Help, Lead};
+use super::{PassPool, PlacedStream};
+use crate::passes::engine::{EngineKey, HelperPart, LedStream};
 use crate::passes::pace::overdue_at;
+use crate::passes::request::{PlacementId, RunningStream, Suspect};
 
 /// What the ledger needs to know of a stream.
-pub(super) struct Parts {
-    pub(super) id: AskId,
+pub(super) struct StreamRecord {
+    pub(super) id: PlacementId,
     pub(super) prompt_tokens: u64,
     pub(super) answer_tokens: u64,
     pub(super) pause: std::time::Duration,
@@ -29,117 +29,122 @@
         }
     }
 
-    pub(super) fn release(&mut self, id: AskId) {
-        let Some(run) = self.runs.remove(&id) else {
+    pub(super) fn remove_stream(&mut self, id: PlacementId) {
+        let Some(placed) = self.placed_streams.remove(&id) else {
             return;
         };
-        for key in std::iter::once(run.lead).chain(run.helpers) {
+        for key in std::iter::once(placed.lead).chain(placed.helpers) {
             if let Some(engine) = self.engines.get_mut(key) {
-                engine.leads.retain(|l| l.id != id);
-                engine.helps.retain(|h| h.id != id);
+                engine.led_streams.retain(|l| l.id != id);
+                engine.helper_parts.retain(|h| h.id != id);
             }
         }
     }
 
     /// Replaces what is known of one node's streams by what it says itself; a stream that it does
-    /// not name is given up unless `may_run` says that the node can't have known of it.
+    /// not name is given up unless `may_still_run` says that the node can't have known of it.
     pub fn sync_node(
         &mut self,
         now: Instant,
         node: u64,
         streams: &[RunningStream],
-        may_run: impl Fn(AskId) -> bool,
+        may_still_run: impl Fn(PlacementId) -> bool,
     ) {
-        let told: HashSet<AskId> = streams.iter().map(|s| s.id).collect();
-        let gone: Vec<AskId> = self
-            .runs
+        let listed: HashSet<PlacementId> = streams.iter().map(|s| s.id).collect();
+        let gone: Vec<PlacementId> = self
+            .placed_streams
             .keys()
-            .filter(|id| id.node == node && !told.contains(id) && !may_run(**id))
+            .filter(|id| id.node == node && !listed.contains(id) && !may_still_run(**id))
             .copied()
             .collect();
         for id in gone {
-            self.release(id);
+            self.remove_stream(id);
         }
         for stream in streams {
-            if !self.runs.contains_key(&stream.id) {
-                self.adopt(now, stream);
+            if !self.placed_streams.contains_key(&stream.id) {
+                self.adopt_stream(now, stream);
             }
-            if stream.is_writing {
+            if stream.is_decoding {
                 self.on_first_event(now, stream.id);
             }
         }
     }
 
-    pub(super) fn adopt(&mut self, now: Instant, stream: &RunningStream) {
+    pub(super) fn adopt_stream(&mut self, now: Instant, stream: &RunningStream) {
         self.queue.remove(stream.id);
         let Some(lead) = self.names.get(&stream.lead).copied() else {
             return;
         };
-        let helpers: Vec<EngineId> = stream
+        let helpers: Vec<EngineKey> = stream
             .helpers
             .iter()
             .filter_map(|name| self.names.get(name).copied())
             .collect();
-        let parts = Parts {
+        let record = StreamRecord {
             id: stream.id,
             prompt_tokens: stream.prompt_tokens,
             answer_tokens: stream.answer_tokens,
             pause: stream.pause,
             helper_memory_tokens: stream.helper_memory_tokens,
-            overdue_at: (!stream.is_writing).then(|| overdue_at(now, stream.first_event_in)),
+            overdue_at: (!stream.is_decoding).then(|| overdue_at(now, stream.first_event_in)),
             suspect: stream.suspect,
         };
-        if !stream.is_writing {
+        if !stream.is_decoding {
             let ends = now + stream.first_event_in;
             for key in std::iter::once(&lead).chain(&helpers) {
-                self.engines[*key].adopt_read(stream.id, ends);
+                self.engines[*key].inherit_prefill(stream.id, ends);
             }
         }
-        self.hold(&parts, lead, helpers);
+        self.add_stream(&record, lead, helpers);
     }
 
     /// Forgets everything of nodes that `keep` does not name.
     pub fn retain_nodes(&mut self, keep: impl Fn(u64) -> bool) {
         self.queue.retain_nodes(&keep);
-        let gone: Vec<AskId> = self
-            .runs
+        let gone: Vec<PlacementId> = self
+            .placed_streams
             .keys()
             .filter(|id| !keep(id.node))
             .copied()
             .collect();
         for id in gone {
-            self.release(id);
+            self.remove_stream(id);
         }
     }
 
     /// Notes a stream in the ledger.
-    pub(super) fn hold(&mut self, parts: &Parts, lead: EngineId, helpers: Vec<EngineId>) {
-        let memory = parts.prompt_tokens + parts.answer_tokens;
-        let lent = parts.helper_memory_tokens * helpers.len() as u64;
+    pub(super) fn add_stream(
+        &mut self,
+        record: &StreamRecord,
+        lead: EngineKey,
+        helpers: Vec<EngineKey>,
+    ) {
+        let memory = record.prompt_tokens + record.answer_tokens;
+        let lent = record.helper_memory_tokens * helpers.len() as u64;
         let at_lead = memory.saturating_sub(lent);
-        self.engines[lead].leads.push(Lead {
-            id: parts.id,
+        self.engines[lead].led_streams.push(LedStream {
+            id: record.id,
             memory_tokens: at_lead,
             context_tokens: at_lead,
-            prompt_tokens: parts.prompt_tokens,
-            pause: parts.pause,
-            is_writing: false,
-            keeps_apart: parts.suspect.is_some_and(|s| s.keeps_apart),
+            prompt_tokens: record.prompt_tokens,
+            pause: record.pause,
+            is_decoding: false,
+            needs_isolation: record.suspect.is_some_and(|s| s.needs_isolation),
             is_late: false,
         });
         for key in &helpers {
-            self.engines[*key].helps.push(Help {
-                id: parts.id,
-                memory_tokens: parts.helper_memory_tokens,
-                is_read: false,
+            self.engines[*key].helper_parts.push(HelperPart {
+                id: record.id,
+                memory_tokens: record.helper_memory_tokens,
+                is_prefilled: false,
             });
         }
-        let run = Run {
+        let placed = PlacedStream {
             lead,
             helpers,
-            overdue_at: parts.overdue_at,
-            suspect: parts.suspect.map(|s| s.request),
+            overdue_at: record.overdue_at,
+            suspect: record.suspect.map(|s| s.fingerprint),
         };
-        self.runs.insert(parts.id, run);
+        self.placed_streams.insert(record.id, placed);
     }
 }
--- a/crates/azuresaddle-sched/src/passes/queue.rs
+++ b/crates/azuresaddle-sched/src/passes/queue.rs
@@ -5,7 +5,7 @@
 use azuresaddle_core::prelude::*;
 use tokio::time::Instant;
 
-use super::ask::{AskId, PassAsk};
+use super::request::{PlacementId, PlacementRequest};
 use crate::fair_clock::FairTag;
 
 /// Order of waiting asks: their own order, then arrival.
@@ -30,9 +30,9 @@
 /// A waiting ask.
 #[derive(Debug)]
 pub(super) struct Waiting {
-    pub(super) ask: PassAsk,
+    pub(super) request: PlacementRequest,
     /// Time to read the prompt on one engine, in milliseconds.
-    pub(super) read_ms: f64,
+    pub(super) prefill_ms: f64,
     pub(super) order: Order,
     /// Its turn among the client accounts.
     pub(super) turn: FairTag,
@@ -54,7 +54,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Queue {
     by_rank: BTreeMap<Rank, Waiting>,
-    ranks: HashMap<AskId, Rank>,
+    ranks: HashMap<PlacementId, Rank>,
     arrivals: u64,
     by_account: HashMap<ClientAccount, AccountQueue>,
 }
@@ -63,20 +63,20 @@
     pub(super) fn push(&mut self, waiting: Waiting) {
         self.arrivals += 1;
         let rank = (waiting.order, self.arrivals);
-        self.ranks.insert(waiting.ask.id, rank);
+        self.ranks.insert(waiting.request.id, rank);
         let first = AccountQueue {
             count: 0,
             since: waiting.asked_at,
         };
-        let account = waiting.ask.account.clone();
+        let account = waiting.request.account.clone();
         self.by_account.entry(account).or_insert(first).count += 1;
         self.by_rank.insert(rank, waiting);
     }
 
-    pub(super) fn remove(&mut self, id: AskId) -> Option<Waiting> {
+    pub(super) fn remove(&mut self, id: PlacementId) -> Option<Waiting> {
         let rank = self.ranks.remove(&id)?;
         let waiting = self.by_rank.remove(&rank)?;
-        let account = &waiting.ask.account;
+        let account = &waiting.request.account;
         if let Some(queue) = self.by_account.get_mut(account) {
             queue.count -= 1;
             if queue.count == 0 {
@@ -86,7 +86,7 @@
         Some(waiting)
     }
 
-    pub(super) fn get(&self, id: AskId) -> Option<&Waiting> {
+    pub(super) fn get(&self, id: PlacementId) -> Option<&Waiting> {
         self.by_rank.get(self.ranks.get(&id)?)
     }
 
@@ -109,11 +109,11 @@
     }
 
     /// Waiting asks of a client account.
-    pub(super) fn of_account(&self, account: &ClientAccount) -> Option<AccountQueue> {
+    pub(super) fn account_queue(&self, account: &ClientAccount) -> Option<AccountQueue> {
         self.by_account.get(account).copied()
     }
 
-    pub(super) fn contains(&self, id: AskId) -> bool {
+    pub(super) fn contains(&self, id: PlacementId) -> bool {
         self.ranks.contains_key(&id)
     }
 
@@ -130,7 +130,7 @@
     }
 
     pub(super) fn retain_nodes(&mut self, mut keep: impl FnMut(u64) -> bool) {
-        let gone: Vec<AskId> = self
+        let gone: Vec<PlacementId> = self
             .ranks
             .keys()
             .filter(|id| !keep(id.node))
--- a/crates/azuresaddle-sched/src/passes/ask.rs
+++ b/crates/azuresaddle-sched/src/passes/request.rs
@@ -10,7 +10,7 @@
 
 /// Identifies an ask over all nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct AskId {
+pub struct PlacementId {
     /// Incarnation of the node that asks.
     pub node: u64,
     /// Number of the ask at that node.
@@ -21,16 +21,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Suspect {
     /// The request.
-    pub request: Fingerprint,
+    pub fingerprint: Fingerprint,
     /// Whether it shares no engine with another such, since the next crash may be its last.
-    pub keeps_apart: bool,
+    pub needs_isolation: bool,
 }
 
 /// Asks for engines to run a stream on.
 #[derive(Clone, Debug)]
-pub struct PassAsk {
+pub struct PlacementRequest {
     /// The ask.
-    pub id: AskId,
+    pub id: PlacementId,
     /// Who asks.
     pub account: ClientAccount,
     /// Failure domain of the node that will relay the answer.
@@ -54,33 +54,34 @@
 }
 
 /// Time to write one token of an answer, in milliseconds: a step of an engine with a full batch.
-const TOKEN_MS: f64 = 1.3;
+const DECODE_MS_PER_TOKEN: f64 = 1.3;
 
 /// Longest time that an answer is expected to take: callers' estimates of its length are often far
 /// too high, and nothing is refused for that.
-const MAX_WRITING: Duration = Duration::from_millis(2500);
+const MAX_DECODE_TIME: Duration = Duration::from_millis(2500);
 
-impl PassAsk {
+impl PlacementRequest {
     /// Whether an engine is not to be used since another suspect runs there.
     ///
     /// Streams of an engine that ends go on together, packed as before, and their callers come back together: twelve
     /// sound requests were beside the one that ended three engines on each of these, and were taken for the cause.
-    pub(super) fn may_not_share(&self, now: Instant, engine: &Engine) -> bool {
-        self.suspect.is_some_and(|s| s.keeps_apart) && engine.is_kept_apart(now)
+    pub(super) fn must_avoid(&self, now: Instant, engine: &Engine) -> bool {
+        self.suspect.is_some_and(|s| s.needs_isolation) && engine.is_isolated(now)
     }
 
     /// Expected time from the first event to the end.
-    pub(super) fn writing_time(&self) -> Duration {
-        let expected = Duration::from_secs_f64(self.answer_tokens as f64 * TOKEN_MS / 1000.0);
-        expected.min(MAX_WRITING)
+    pub(super) fn decode_time(&self) -> Duration {
+        let expected =
+            Duration::from_secs_f64(self.answer_tokens as f64 * DECODE_MS_PER_TOKEN / 1000.0);
+        expected.min(MAX_DECODE_TIME)
     }
 }
 
 /// Decision about an ask.
 #[derive(Clone, Debug, PartialEq)]
-pub enum PassDecision {
+pub enum PlacementDecision {
     /// Send it now.
-    Granted(PassGrant),
+    Granted(PlacementGrant),
     /// It has its final answer; it did not run.
     Refused {
         /// When to come back.
@@ -90,7 +91,7 @@
 
 /// Engines for a stream.
 #[derive(Clone, Debug, PartialEq)]
-pub struct PassGrant {
+pub struct PlacementGrant {
     /// The engine that receives the request and writes the answer.
     pub lead: HostName,
     /// Engines that read a part of the prompt besides.
@@ -103,7 +104,7 @@
 
 /// How a stream ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum PassOutcome {
+pub enum StreamOutcome {
     /// The answer is whole.
     Done,
     /// The caller left, or the ask was withdrawn.
@@ -125,7 +126,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunningStream {
     /// The ask.
-    pub id: AskId,
+    pub id: PlacementId,
     /// The engine that writes.
     pub lead: HostName,
     /// Engines that read parts of the prompt.
@@ -139,7 +140,7 @@
     /// Longest pause between events.
     pub pause: Duration,
     /// Whether the first event has come.
-    pub is_writing: bool,
+    pub is_decoding: bool,
     /// Expected time until the first event; zero where it has come or is overdue.
     pub first_event_in: Duration,
     /// The request, where a target had ended while it had it.
--- a/crates/azuresaddle-sched/src/passes/short_load.rs
+++ b/crates/azuresaddle-sched/src/passes/short_load.rs
@@ -14,7 +14,7 @@
 
 /// Starts in the window that are assumed at least, for each engine: after a moment in which all
 /// engines read long parts none may have started, and yet the next passes take some.
-const MIN_STARTS: f64 = 2.0;
+const MIN_STARTS_PER_ENGINE: f64 = 2.0;
 
 /// Starts within the window.
 #[derive(Debug, Default)]
@@ -33,7 +33,7 @@
     pub(super) fn expected_wait(&self, now: Instant, ahead: usize, engines: usize) -> Duration {
         let is_recent = |at: &&Instant| now.saturating_duration_since(**at) <= WINDOW;
         let recent = self.starts.iter().rev().take_while(is_recent).count();
-        let starts = (recent as f64).max(MIN_STARTS * engines as f64);
+        let starts = (recent as f64).max(MIN_STARTS_PER_ENGINE * engines as f64);
         WINDOW.mul_f64((ahead as f64 + 1.0) / starts)
     }
 
--- a/crates/azuresaddle-sched/src/passes/short_plan.rs
+++ b/crates/azuresaddle-sched/src/passes/short_plan.rs
@@ -7,9 +7,9 @@
 use azuresaddle_core::deployment::EngineSpec;
 use tokio::time::Instant;
 
-use super::ask::PassAsk;
-use super::engine::{Engine, EngineId};
-use super::round::Round;
+use super::engine::{Engine, EngineKey};
+use super::pool_view::PoolView;
+use super::request::PlacementRequest;
 
 /// Part of the time to the first event that the wait for a pass and the read may take; the rest
 /// covers the node, the network and the error of the estimate.
@@ -18,18 +18,18 @@
 /// An engine for a short prompt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct ShortPlan {
-    pub(super) engine: EngineId,
+    pub(super) engine: EngineKey,
     /// Milliseconds to the first event.
     pub(super) first_event_ms: f64,
 }
 
 /// What an engine for a short prompt must keep.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum ShortNeed {
+pub(super) enum ShortRequirement {
     /// Every pause, and the prompt's own first event on time.
     OnTime,
     /// Every pause; the prompt is late already.
-    Pauses,
+    KeepPauses,
     /// Nothing: the prompt's caller is about to give up.
     Nothing,
 }
@@ -37,28 +37,28 @@
 /// An engine with a free slot, as short prompts see it.
 #[derive(Clone, Copy, Debug)]
 struct ShortCandidate {
-    key: EngineId,
+    key: EngineKey,
     /// Milliseconds until its next pass.
     wait_ms: f64,
     /// Time of that pass without another prompt, in milliseconds.
     base_ms: f64,
     /// Longest read that makes no stream late, in milliseconds.
-    room_ms: f64,
+    headroom_ms: f64,
     free_tokens: u64,
     /// Time of its work against that of a usual engine.
-    pace: f64,
+    pace_factor: f64,
 }
 
 impl ShortCandidate {
     /// An engine as it is now; `None` where nothing may start there.
-    fn new(now: Instant, spec: &EngineSpec, key: EngineId, engine: &Engine) -> Option<Self> {
-        (engine.is_open(now) && engine.has_slot(spec)).then(|| Self {
+    fn new(now: Instant, spec: &EngineSpec, key: EngineKey, engine: &Engine) -> Option<Self> {
+        (engine.accepts_work(now) && engine.has_slot(spec)).then(|| Self {
             key,
             wait_ms: engine.next_pass_in(now).as_secs_f64() * 1000.0,
             base_ms: engine.next_pass_ms(spec, 0.0),
-            room_ms: engine.room_ms(spec),
+            headroom_ms: engine.headroom_ms(spec),
             free_tokens: engine.free_tokens(spec),
-            pace: engine.pace.factor(),
+            pace_factor: engine.pace.factor(),
         })
     }
 }
@@ -72,18 +72,18 @@
 
 impl ShortCandidates {
     /// All engines with a free slot.
-    pub(super) fn new(round: &Round<'_>) -> Self {
-        let all = round.engines.iter();
-        let able = all.filter_map(|(key, e)| ShortCandidate::new(round.now, round.spec, key, e));
-        Self(able.collect())
+    pub(super) fn new(view: &PoolView<'_>) -> Self {
+        let all = view.engines.iter();
+        let available = all.filter_map(|(key, e)| ShortCandidate::new(view.now, view.spec, key, e));
+        Self(available.collect())
     }
 
     /// Brings one engine up to what was placed there.
-    pub(super) fn refresh(&mut self, round: &Round<'_>, key: EngineId) {
+    pub(super) fn refresh(&mut self, view: &PoolView<'_>, key: EngineKey) {
         let Some(at) = self.0.iter().position(|c| c.key == key) else {
             return;
         };
-        match ShortCandidate::new(round.now, round.spec, key, &round.engines[key]) {
+        match ShortCandidate::new(view.now, view.spec, key, &view.engines[key]) {
             Some(candidate) => self.0[at] = candidate,
             None => {
                 self.0.swap_remove(at);
@@ -94,42 +94,43 @@
     /// The engine for a short prompt: the fullest one that keeps what is needed.
     pub(super) fn plan(
         &self,
-        round: &Round<'_>,
-        ask: &PassAsk,
-        read_ms: f64,
-        need: ShortNeed,
+        view: &PoolView<'_>,
+        request: &PlacementRequest,
+        prefill_ms: f64,
+        requirement: ShortRequirement,
     ) -> Option<ShortPlan> {
-        let Round {
+        let PoolView {
             now,
             engines,
             options,
             ..
-        } = *round;
-        let memory = ask.prompt_tokens + ask.answer_tokens;
-        let left = ask.first_event_by.saturating_duration_since(now);
+        } = *view;
+        let memory = request.prompt_tokens + request.answer_tokens;
+        let left = request.first_event_by.saturating_duration_since(now);
         let left_ms = left.as_secs_f64() * 1000.0 * FIRST_EVENT_SHARE;
         let mut best: Option<(Rank, ShortPlan)> = None;
         for candidate in &self.0 {
-            let first_event_ms = candidate.wait_ms + candidate.base_ms + read_ms * candidate.pace;
+            let first_event_ms =
+                candidate.wait_ms + candidate.base_ms + prefill_ms * candidate.pace_factor;
             let is_on_time = first_event_ms <= left_ms;
-            let keeps_pauses = !options.check_pauses || candidate.room_ms >= read_ms;
-            let is_good = keeps_pauses && (is_on_time || need != ShortNeed::OnTime);
-            let is_usable = is_good || need == ShortNeed::Nothing;
+            let keeps_pauses = !options.check_pauses || candidate.headroom_ms >= prefill_ms;
+            let is_good = keeps_pauses && (is_on_time || requirement != ShortRequirement::OnTime);
+            let is_usable = is_good || requirement == ShortRequirement::Nothing;
             if !is_usable || candidate.free_tokens < memory {
                 continue;
             }
             let engine = &engines[candidate.key];
-            if ask.exclude.contains(&engine.name) || ask.may_not_share(now, engine) {
+            if request.exclude.contains(&engine.name) || request.must_avoid(now, engine) {
                 continue;
             }
             let rank = Rank {
                 is_good,
                 packed: if options.pack_short {
-                    engine.count_with_pause(ask.pause)
+                    engine.count_with_pause(request.pause)
                 } else {
                     0
                 },
-                same_domain: engine.domain == ask.domain,
+                same_domain: engine.domain == request.domain,
                 soon: -first_event_ms,
             };
             let plan = ShortPlan {
--- a/crates/azuresaddle-sched/tests/suite/passes/shares.rs
+++ b/crates/azuresaddle-sched/tests/suite/passes/account_shares.rs
@@ -6,10 +6,10 @@
 
 use super::*;
 
-fn ask_of(account: &str, now: Instant, number: u64, tokens: u64) -> PassAsk {
-    PassAsk {
+fn request_of(account: &str, now: Instant, number: u64, tokens: u64) -> PlacementRequest {
+    PlacementRequest {
         account: ClientAccount::new(account),
-        ..ask(now, number, tokens)
+        ..request(now, number, tokens)
     }
 }
 
@@ -20,26 +20,26 @@
         pool.on_first_event(now, id(number));
         number += 1;
     }
-    pool.end(now, id(number), &PassOutcome::Cancelled);
+    pool.end(now, id(number), &StreamOutcome::Cancelled);
     number + 1
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_account_with_much_waiting_lets_others_go_first() {
+async fn an_account_with_many_waiting_requests_lets_others_go_first() {
     let now = Instant::now();
     let mut pool = pool(now, 1);
     let first = fill(&mut pool, now);
     for number in first..first + 6 {
-        pool.enqueue(now, ask_of("busy", now, number, 2000));
+        pool.enqueue(now, request_of("busy", now, number, 2000));
     }
     let other = first + 6;
-    pool.enqueue(now, ask_of("other", now, other, 2000));
-    assert!(grants(&mut pool, now).is_empty());
+    pool.enqueue(now, request_of("other", now, other, 2000));
+    assert!(dispatch(&mut pool, now).is_empty());
     // Two places become free.
-    pool.end(now, id(1), &PassOutcome::Done);
-    pool.end(now, id(2), &PassOutcome::Done);
+    pool.end(now, id(1), &StreamOutcome::Done);
+    pool.end(now, id(2), &StreamOutcome::Done);
     let later = now + Duration::from_millis(60);
-    let placed: Vec<u64> = grants(&mut pool, later).iter().map(|(n, _)| *n).collect();
+    let placed: Vec<u64> = dispatch(&mut pool, later).iter().map(|(n, _)| *n).collect();
     assert!(placed.contains(&other), "{placed:?}");
 }
 
@@ -50,7 +50,7 @@
     let first = fill(&mut pool, now);
     let flood = |pool: &mut PassPool, now: Instant, numbers: std::ops::Range<u64>| {
         for number in numbers {
-            pool.enqueue(now, ask_of("flood", now, number, 2000));
+            pool.enqueue(now, request_of("flood", now, number, 2000));
         }
         pool.take_decisions().len()
     };
@@ -58,7 +58,7 @@
     assert_eq!(flood(&mut pool, now, first..first + 20), 0);
     let now = now + Duration::from_millis(600);
     assert_eq!(flood(&mut pool, now, first + 20..first + 30), 10);
-    pool.enqueue(now, ask_of("other", now, first + 30, 2000));
+    pool.enqueue(now, request_of("other", now, first + 30, 2000));
     assert!(pool.take_decisions().is_empty());
 }
 
@@ -69,10 +69,10 @@
     let first = fill(&mut pool, now);
     for number in first..first + 4 {
         let account = if number % 2 == 0 { "one" } else { "other" };
-        pool.enqueue(now, ask_of(account, now, number, 2000));
+        pool.enqueue(now, request_of(account, now, number, 2000));
     }
-    pool.end(now, id(1), &PassOutcome::Done);
+    pool.end(now, id(1), &StreamOutcome::Done);
     let later = now + Duration::from_millis(60);
-    let placed = grants(&mut pool, later);
+    let placed = dispatch(&mut pool, later);
     assert_eq!(placed[0].0, first);
 }
--- a/crates/azuresaddle-sched/tests/suite/passes/restart.rs
+++ b/crates/azuresaddle-sched/tests/suite/passes/engine_restart.rs
@@ -22,10 +22,10 @@
     // Its memory and its next pass are taken.
     assert!(start(&mut pool, now, 3, 200_000).is_none());
     assert!(pool.note_start(now, &name(0), SECOND));
-    let granted = grants(&mut pool, now);
+    let granted = dispatch(&mut pool, now);
     assert_eq!(granted[0].0, 3, "the engine is empty again");
     // The end of a stream of the earlier start takes nothing from the later one.
-    pool.end(now, id(2), &PassOutcome::TargetFailed(name(0)));
+    pool.end(now, id(2), &StreamOutcome::TargetFailed(name(0)));
     assert_eq!(pool.running(), 1);
     assert!(start(&mut pool, now, 4, 300_000).is_none());
 }
@@ -38,13 +38,13 @@
     pool.on_pace(now, &name(0), 8.0);
     for number in 1..=3 {
         let _ = start(&mut pool, now, number, 2_000);
-        pool.end(now, id(number), &PassOutcome::TargetFailed(name(0)));
+        pool.end(now, id(number), &StreamOutcome::TargetFailed(name(0)));
     }
     assert!(
         start(&mut pool, now, 4, 2_000).is_none(),
         "the breaker is open"
     );
-    pool.end(now, id(4), &PassOutcome::Cancelled);
+    pool.end(now, id(4), &StreamOutcome::Cancelled);
     pool.note_start(now, &name(0), SECOND);
     let grant = start(&mut pool, now, 5, 2_000).unwrap();
     assert!(
@@ -54,7 +54,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_word_of_an_earlier_start_counts_for_nothing() {
+async fn reports_of_an_earlier_start_are_ignored() {
     let now = Instant::now();
     let mut pool = pool(now, 1);
     assert!(pool.note_start(now, &name(0), SECOND));
--- a/crates/azuresaddle-sched/tests/suite/passes/long.rs
+++ b/crates/azuresaddle-sched/tests/suite/passes/long.rs
@@ -2,13 +2,13 @@
 
 use std::time::Duration;
 
-use azuresaddle_sched::passes::{PassDecision, PassOptions};
+use azuresaddle_sched::passes::{PassOptions, PlacementDecision};
 use tokio::time::Instant;
 
 use super::*;
 
 #[tokio::test(start_paused = true)]
-async fn a_long_prompt_is_split_over_free_engines_and_not_beside_short_streams() {
+async fn a_long_prompt_is_split_over_engines_without_short_streams() {
     let now = Instant::now();
     let mut pool = pool(now, 9);
     let short = start(&mut pool, now, 1, 3000).unwrap();
@@ -35,24 +35,24 @@
         let busy = start(&mut pool, now, n, 110_000);
         assert!(busy.is_some() || n > 0);
     }
-    pool.enqueue(now, ask(now, 50, 280_000));
-    let at_once = grants(&mut pool, now);
+    pool.enqueue(now, request(now, 50, 280_000));
+    let at_once = dispatch(&mut pool, now);
     let long = at_once.iter().find(|(n, _)| *n == 50);
     assert!(long.is_none_or(|(_, g)| g.first_event_in < Duration::from_secs(3)));
 }
 
 #[tokio::test(start_paused = true)]
-async fn nothing_begins_that_would_end_after_its_deadline() {
+async fn a_request_that_cannot_meet_its_deadline_is_refused() {
     let now = Instant::now();
     let mut pool = pool(now, 1);
-    let mut late = ask(now, 1, 300_000);
+    let mut late = request(now, 1, 300_000);
     // 5,300 ms to read on the only engine.
     late.deadline = now + Duration::from_millis(4000);
     assert_refused(&mut pool, now, late);
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_no_single_engine_holds_gets_memory_on_several() {
+async fn a_prompt_too_large_for_one_engine_reserves_memory_on_several() {
     let now = Instant::now();
     let mut pool = pool(now, 6);
     let grant = start(&mut pool, now, 1, 600_000).unwrap();
@@ -62,17 +62,17 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_prompt_larger_than_all_engines_is_refused_at_once() {
+async fn a_prompt_too_large_for_all_engines_is_refused_at_once() {
     let now = Instant::now();
     let mut pool = pool(now, 1);
-    let mut huge = ask(now, 1, 900_000);
+    let mut huge = request(now, 1, 900_000);
     huge.give_up_at = now + Duration::from_secs(120);
     huge.deadline = now + Duration::from_secs(120);
     assert_refused(&mut pool, now, huge);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_few_short_streams_are_made_late_for_a_long_prompt_that_would_be() {
+async fn short_streams_are_delayed_to_keep_a_long_prompt_on_time() {
     let now = Instant::now();
     let both = [true, false].map(|break_pauses| {
         let options = PassOptions {
@@ -83,13 +83,15 @@
         let mut pool = pool_with(now, 6, options);
         // One leftover short stream on each engine.
         for n in 0..6 {
-            pool.sync_node(now, 10 + n, &[running(10 + n, n as usize)], |_| false);
+            pool.sync_node(now, 10 + n, &[running_stream(10 + n, n as usize)], |_| {
+                false
+            });
         }
-        pool.enqueue(now, ask(now, 90, 210_000));
+        pool.enqueue(now, request(now, 90, 210_000));
         let mut granted = None;
         for step in 0..60 {
             let at = now + Duration::from_millis(20 * step);
-            let all = grants(&mut pool, at);
+            let all = dispatch(&mut pool, at);
             granted = granted.or(all.into_iter().find(|(n, _)| *n == 90));
         }
         granted.is_some()
@@ -99,7 +101,7 @@
 
 /// Parts that meet on an engine are read in one pass, and none is done before its end.
 #[tokio::test(start_paused = true)]
-async fn no_part_is_sent_to_an_engine_that_reads_another() {
+async fn no_part_is_placed_on_an_engine_that_is_prefilling() {
     let now = Instant::now();
     let mut pool = pool(now, 6);
     let first = start(&mut pool, now, 1, 250_000).unwrap();
@@ -114,7 +116,7 @@
 
 /// A review that is written alone takes four times the engine's time that its prompt takes to read.
 #[tokio::test(start_paused = true)]
-async fn reviews_are_written_where_short_streams_are() {
+async fn long_prompts_are_decoded_beside_short_streams() {
     let now = Instant::now();
     let mut pool = pool(now, 8);
     let short = start(&mut pool, now, 1, 3000).unwrap();
@@ -129,23 +131,23 @@
 
 /// Under a load of quicker prompts that takes all engines, a very long one is told at once.
 #[tokio::test(start_paused = true)]
-async fn what_the_load_of_late_gives_no_chance_is_refused_at_once() {
+async fn a_prompt_without_capacity_under_recent_load_is_refused_at_once() {
     let start = Instant::now();
     let mut pool = pool(start, 4);
     let mut now = start;
     for n in 0..40 {
         now += Duration::from_millis(100);
         // 1.4 s of reading ten times a second, on four engines.
-        pool.enqueue(now, ask(now, n, 140_000));
-        grants(&mut pool, now);
+        pool.enqueue(now, request(now, n, 140_000));
+        dispatch(&mut pool, now);
     }
-    let mut long = ask(now, 99, 400_000);
+    let mut long = request(now, 99, 400_000);
     long.give_up_at = now + Duration::from_secs(12);
     pool.enqueue(now, long);
     pool.dispatch(now);
     let decisions = pool.take_decisions();
     let refused = decisions.iter().find_map(|(id, d)| match d {
-        PassDecision::Refused { retry_after } if id.number == 99 => Some(*retry_after),
+        PlacementDecision::Refused { retry_after } if id.number == 99 => Some(*retry_after),
         _ => None,
     });
     assert!(
@@ -156,16 +158,18 @@
 
 /// Streams that are late already still bound a pass: a node takes a long silence for a dead engine.
 #[tokio::test(start_paused = true)]
-async fn late_streams_are_not_silenced() {
+async fn late_streams_are_not_stalled() {
     let now = Instant::now();
     let mut pool = pool(now, 3);
     for n in 0..3 {
-        pool.sync_node(now, 10 + n, &[running(10 + n, n as usize)], |_| false);
+        pool.sync_node(now, 10 + n, &[running_stream(10 + n, n as usize)], |_| {
+            false
+        });
     }
     for step in 0..200 {
         let at = now + Duration::from_millis(20 * step);
-        pool.enqueue(at, ask(at, step, 210_000));
-        for (_, grant) in grants(&mut pool, at) {
+        pool.enqueue(at, request(at, step, 210_000));
+        for (_, grant) in dispatch(&mut pool, at) {
             let part = 2937.0 / (grant.helpers.len() + 1) as f64;
             assert!(part < 700.0, "a part of {part} ms");
         }
@@ -174,7 +178,7 @@
 
 /// Two engines would read a prompt of 531k tokens for 7.6 s, and its memory would lie unused.
 #[tokio::test(start_paused = true)]
-async fn memory_is_not_reserved_for_a_read_of_many_seconds() {
+async fn memory_is_not_reserved_for_a_prefill_of_many_seconds() {
     let now = Instant::now();
     let mut few = pool(now, 2);
     assert_eq!(start(&mut few, now, 1, 531_000), None);
--- a/crates/azuresaddle-sched/tests/suite/passes/mod.rs
+++ b/crates/azuresaddle-sched/tests/suite/passes/mod.rs
@@ -1,25 +1,26 @@
 //! Placement on engines that work in passes.
 
+mod account_shares;
 mod crowd;
-mod ledger;
+mod engine_restart;
 mod long;
-mod pace;
+mod pace_probes;
 mod rate_limits;
-mod restart;
-mod shares;
+mod reference_engine;
 mod short;
+mod streams;
 mod suspects;
-mod usual_engine;
 
 use std::time::Duration;
 
 use azuresaddle_core::prelude::*;
 use azuresaddle_sched::passes::{
-    AskId, PassAsk, PassDecision, PassGrant, PassOptions, PassOutcome, PassPool, RunningStream,
+    PassOptions, PassPool, PlacementDecision, PlacementGrant, PlacementId, PlacementRequest,
+    RunningStream, StreamOutcome,
 };
 use tokio::time::Instant;
 
-use self::usual_engine::spec;
+use self::reference_engine::spec;
 
 fn name(n: usize) -> HostName {
     HostName::new(format!("e{n:02}"))
@@ -37,17 +38,17 @@
     pool_with(now, engines, PassOptions::default())
 }
 
-fn id(number: u64) -> AskId {
-    AskId { node: 1, number }
+fn id(number: u64) -> PlacementId {
+    PlacementId { node: 1, number }
 }
 
-fn ask(now: Instant, number: u64, prompt_tokens: u64) -> PassAsk {
+fn request(now: Instant, number: u64, prompt_tokens: u64) -> PlacementRequest {
     let (first, pause) = match prompt_tokens {
         0..30_000 => (300, 200),
         30_000..110_000 => (1500, 500),
         _ => (3000, 800),
     };
-    PassAsk {
+    PlacementRequest {
         id: id(number),
         account: ClientAccount::new("a"),
         domain: FailureDomain::new("d1"),
@@ -63,11 +64,11 @@
 }
 
 /// Dispatches and returns the grants by number.
-fn grants(pool: &mut PassPool, now: Instant) -> Vec<(u64, PassGrant)> {
+fn dispatch(pool: &mut PassPool, now: Instant) -> Vec<(u64, PlacementGrant)> {
     pool.dispatch(now);
-    let granted = |(id, decision): (AskId, PassDecision)| match decision {
-        PassDecision::Granted(grant) => Some((id.number, grant)),
-        PassDecision::Refused { .. } => None,
+    let granted = |(id, decision): (PlacementId, PlacementDecision)| match decision {
+        PlacementDecision::Granted(grant) => Some((id.number, grant)),
+        PlacementDecision::Refused { .. } => None,
     };
     pool.take_decisions()
         .into_iter()
@@ -75,32 +76,32 @@
         .collect()
 }
 
-fn start(pool: &mut PassPool, now: Instant, number: u64, tokens: u64) -> Option<PassGrant> {
-    pool.enqueue(now, ask(now, number, tokens));
-    let all = grants(pool, now);
+fn start(pool: &mut PassPool, now: Instant, number: u64, tokens: u64) -> Option<PlacementGrant> {
+    pool.enqueue(now, request(now, number, tokens));
+    let all = dispatch(pool, now);
     all.into_iter().find(|(n, _)| *n == number).map(|(_, g)| g)
 }
 
-fn assert_refused(pool: &mut PassPool, now: Instant, ask: PassAsk) {
-    pool.enqueue(now, ask);
+fn assert_refused(pool: &mut PassPool, now: Instant, request: PlacementRequest) {
+    pool.enqueue(now, request);
     pool.dispatch(now);
     let decisions = pool.take_decisions();
     assert!(
-        matches!(decisions[..], [(_, PassDecision::Refused { .. })]),
+        matches!(decisions[..], [(_, PlacementDecision::Refused { .. })]),
         "{decisions:?}"
     );
 }
 
-fn running(node: u64, engine: usize) -> RunningStream {
+fn running_stream(node: u64, engine: usize) -> RunningStream {
     RunningStream {
-        id: AskId { node, number: 1 },
+        id: PlacementId { node, number: 1 },
         lead: name(engine),
         helpers: Vec::new(),
         helper_memory_tokens: 0,
         prompt_tokens: 3000,
         answer_tokens: 800,
         pause: Duration::from_millis(200),
-        is_writing: true,
+        is_decoding: true,
         first_event_in: Duration::ZERO,
         suspect: None,
     }
--- a/crates/azuresaddle-sched/tests/suite/passes/short.rs
+++ b/crates/azuresaddle-sched/tests/suite/passes/short.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use azuresaddle_sched::passes::{PassOptions, PassOutcome};
+use azuresaddle_sched::passes::{PassOptions, StreamOutcome};
 use tokio::time::Instant;
 
 use super::*;
@@ -26,7 +26,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn without_packing_they_spread() {
+async fn short_streams_are_spread_without_packing() {
     let now = Instant::now();
     let options = PassOptions {
         pack_short: false,
@@ -48,18 +48,22 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_failing_engine_gets_nothing_for_a_while() {
+async fn a_failing_engine_receives_no_streams_for_a_while() {
     let now = Instant::now();
     let mut pool = pool(now, 2);
     let first = start(&mut pool, now, 1, 3000).unwrap();
-    pool.end(now, id(1), &PassOutcome::TargetFailed(first.lead.clone()));
+    pool.end(now, id(1), &StreamOutcome::TargetFailed(first.lead.clone()));
     let second = start(&mut pool, now, 2, 3000).unwrap();
-    pool.end(now, id(2), &PassOutcome::TargetFailed(second.lead.clone()));
+    pool.end(
+        now,
+        id(2),
+        &StreamOutcome::TargetFailed(second.lead.clone()),
+    );
     let failed = if second.lead == first.lead {
         first.lead
     } else {
         let third = start(&mut pool, now, 3, 3000).unwrap();
-        pool.end(now, id(3), &PassOutcome::TargetFailed(third.lead.clone()));
+        pool.end(now, id(3), &StreamOutcome::TargetFailed(third.lead.clone()));
         third.lead
     };
     for n in 10..14 {
--- a/crates/azuresaddle-sched/tests/suite/passes/ledger.rs
+++ b/crates/azuresaddle-sched/tests/suite/passes/streams.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use azuresaddle_core::prelude::*;
-use azuresaddle_sched::passes::{PassDecision, PassOutcome};
+use azuresaddle_sched::passes::{PlacementDecision, StreamOutcome};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use tokio::time::Instant;
@@ -11,7 +11,7 @@
 use super::*;
 
 #[tokio::test(start_paused = true)]
-async fn a_node_that_is_gone_leaves_nothing_behind() {
+async fn streams_of_a_removed_node_are_dropped() {
     let now = Instant::now();
     let mut pool = pool(now, 2);
     for n in 0..5 {
@@ -23,14 +23,14 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_listing_replaces_what_is_known_of_a_node_but_not_newer_grants() {
+async fn a_node_sync_replaces_its_streams_except_newer_grants() {
     let now = Instant::now();
     let mut pool = pool(now, 2);
     for n in 1..=3 {
         assert!(start(&mut pool, now, n, 3000).is_some());
     }
     // The node knew the asks 1 and 2 when it made the listing, and only 2 still runs.
-    let mut still = running(1, 0);
+    let mut still = running_stream(1, 0);
     still.id = id(2);
     pool.sync_node(now, 1, &[still], |id| id.number > 2);
     assert_eq!(pool.running(), 2);
@@ -39,13 +39,13 @@
 /// An owner that took over believed engines idle that were in the middle of an 8 s read, and gave
 /// them parts of every prompt that came.
 #[tokio::test(start_paused = true)]
-async fn a_new_owner_knows_which_engines_are_reading() {
+async fn a_new_owner_knows_which_engines_are_prefilling() {
     let now = Instant::now();
     let mut pool = pool(now, 3);
-    let mut reading = running(1, 0);
+    let mut reading = running_stream(1, 0);
     reading.helpers = vec![name(1)];
     reading.prompt_tokens = 400_000;
-    reading.is_writing = false;
+    reading.is_decoding = false;
     reading.first_event_in = Duration::from_secs(4);
     pool.sync_node(now, 1, &[reading], |_| false);
 
@@ -53,14 +53,14 @@
     assert_eq!((long.lead, long.helpers), (name(2), Vec::new()));
 
     // The first event ends the read sooner than expected.
-    pool.on_first_event(now, AskId { node: 1, number: 1 });
+    pool.on_first_event(now, PlacementId { node: 1, number: 1 });
     let next = start(&mut pool, now, 3, 60_000).unwrap();
     assert_eq!((next.lead, next.helpers), (name(1), Vec::new()));
 }
 
 /// Whatever happens, every ask gets exactly one decision and nothing is left in the ledger.
 #[tokio::test(start_paused = true)]
-async fn every_ask_gets_one_decision_and_the_ledger_empties() {
+async fn every_request_gets_one_decision_and_all_streams_are_released() {
     for seed in 0..30 {
         let mut rng = StdRng::seed_from_u64(seed);
         let start = Instant::now();
@@ -68,14 +68,14 @@
         let mut now = start;
         let mut live = Vec::new();
         let mut decided = std::collections::HashMap::new();
-        let mut asked = 0;
+        let mut requested = 0;
         for _ in 0..400 {
             now += Duration::from_millis(rng.random_range(1..60));
             match rng.random_range(0..10) {
                 0..=4 => {
-                    asked += 1;
+                    requested += 1;
                     let tokens = [2000, 9000, 45_000, 210_000, 700_000][rng.random_range(0..5)];
-                    pool.enqueue(now, ask(now, asked, tokens));
+                    pool.enqueue(now, request(now, requested, tokens));
                 }
                 5..=6 if !live.is_empty() => {
                     let at = rng.random_range(0..live.len());
@@ -89,11 +89,11 @@
                 ),
                 _ if !live.is_empty() => {
                     let number = live.swap_remove(rng.random_range(0..live.len()));
-                    let failed = PassOutcome::TargetFailed(name(rng.random_range(0..5)));
+                    let failed = StreamOutcome::TargetFailed(name(rng.random_range(0..5)));
                     let outcome = if rng.random_range(0..8) == 0 {
                         failed
                     } else {
-                        PassOutcome::Done
+                        StreamOutcome::Done
                     };
                     pool.end(now, id(number), &outcome);
                 }
@@ -105,13 +105,13 @@
                     decided.insert(id.number, ()).is_none(),
                     "seed {seed}: two decisions"
                 );
-                if matches!(decision, PassDecision::Granted(_)) {
+                if matches!(decision, PlacementDecision::Granted(_)) {
                     live.push(id.number);
                 }
             }
         }
         for number in live {
-            pool.end(now, id(number), &PassOutcome::Done);
+            pool.end(now, id(number), &StreamOutcome::Done);
         }
         now += Duration::from_secs(60);
         pool.dispatch(now);
@@ -121,7 +121,7 @@
                 "seed {seed}: two decisions"
             );
         }
-        assert_eq!(decided.len() as u64, asked, "seed {seed}");
+        assert_eq!(decided.len() as u64, requested, "seed {seed}");
         assert_eq!((pool.running(), pool.waiting()), (0, 0), "seed {seed}");
     }
 }
--- a/crates/azuresaddle-sched/tests/suite/passes/suspects.rs
+++ b/crates/azuresaddle-sched/tests/suite/passes/suspects.rs
@@ -2,31 +2,31 @@
 
 use std::time::Duration;
 
-use azuresaddle_sched::passes::{Mechanism, PassOptions, PassOutcome, PassPool, Suspect};
+use azuresaddle_sched::passes::{Mechanism, PassOptions, PassPool, StreamOutcome, Suspect};
 use azuresaddle_sched::quarantine::Quarantine;
 use tokio::time::Instant;
 
 use super::*;
 
-fn suspect(now: Instant, number: u64, request: u8) -> PassAsk {
-    PassAsk {
+fn suspect(now: Instant, number: u64, fingerprint: u8) -> PlacementRequest {
+    PlacementRequest {
         suspect: Some(Suspect {
-            request: Fingerprint::of(&[&[request]]),
-            keeps_apart: false,
+            fingerprint: Fingerprint::of(&[&[fingerprint]]),
+            needs_isolation: false,
         }),
-        ..ask(now, number, 3000)
+        ..request(now, number, 3000)
     }
 }
 
-fn place(pool: &mut PassPool, now: Instant, ask: PassAsk) -> Option<PassGrant> {
-    let number = ask.id.number;
-    pool.enqueue(now, ask);
-    let all = grants(pool, now);
+fn place(pool: &mut PassPool, now: Instant, request: PlacementRequest) -> Option<PlacementGrant> {
+    let number = request.id.number;
+    pool.enqueue(now, request);
+    let all = dispatch(pool, now);
     all.into_iter().find(|(n, _)| *n == number).map(|(_, g)| g)
 }
 
 #[tokio::test(start_paused = true)]
-async fn without_turns_copies_of_a_suspect_run_side_by_side() {
+async fn copies_of_a_suspect_run_concurrently_without_turns() {
     let now = Instant::now();
     let options = PassOptions::default().without(Mechanism::SuspectTurns);
     let mut pool = pool_with(now, 8, options);
@@ -44,36 +44,36 @@
         assert!(place(&mut pool, now, suspect(now, number, 1)).is_none());
     }
     assert!(place(&mut pool, now, suspect(now, 9, 2)).is_some());
-    pool.end(now, id(1), &PassOutcome::TargetFailed(first.lead));
-    let next = grants(&mut pool, now);
+    pool.end(now, id(1), &StreamOutcome::TargetFailed(first.lead));
+    let next = dispatch(&mut pool, now);
     assert_eq!(next.len(), 1);
     // The caller of the copy that runs leaves: the next one has its turn.
-    pool.end(now, id(next[0].0), &PassOutcome::Cancelled);
-    assert_eq!(grants(&mut pool, now).len(), 1);
+    pool.end(now, id(next[0].0), &StreamOutcome::Cancelled);
+    assert_eq!(dispatch(&mut pool, now).len(), 1);
 }
 
 #[tokio::test(start_paused = true)]
 async fn long_copies_of_a_suspect_run_one_at_a_time_too() {
     let now = Instant::now();
     let mut pool = pool(now, 8);
-    let long = |number| PassAsk {
+    let long = |number| PlacementRequest {
         suspect: suspect(now, number, 9).suspect,
-        ..ask(now, number, 45_000)
+        ..request(now, number, 45_000)
     };
     assert!(place(&mut pool, now, long(1)).is_some());
     assert!(place(&mut pool, now, long(2)).is_none());
-    pool.end(now, id(1), &PassOutcome::Done);
-    assert_eq!(grants(&mut pool, now).len(), 1);
+    pool.end(now, id(1), &StreamOutcome::Done);
+    assert_eq!(dispatch(&mut pool, now).len(), 1);
 }
 
 /// The owner changes while a suspect runs.
 #[tokio::test(start_paused = true)]
-async fn a_new_owner_is_told_of_suspects_that_run() {
+async fn a_new_owner_learns_of_running_suspects() {
     let now = Instant::now();
     let mut pool = pool(now, 8);
-    let mut told = running(7, 0);
-    told.suspect = suspect(now, 0, 1).suspect;
-    pool.sync_node(now, 7, &[told], |_| false);
+    let mut inherited = running_stream(7, 0);
+    inherited.suspect = suspect(now, 0, 1).suspect;
+    pool.sync_node(now, 7, &[inherited], |_| false);
     assert!(place(&mut pool, now, suspect(now, 1, 1)).is_none());
     assert!(place(&mut pool, now, suspect(now, 2, 2)).is_some());
 }
@@ -81,48 +81,48 @@
 /// A crowd of streams is packed on one engine with the request that ends it, goes on packed with it elsewhere, and
 /// comes back with it: only that request may be taken for the cause.
 #[tokio::test(start_paused = true)]
-async fn streams_that_move_together_with_the_cause_are_not_taken_for_it() {
+async fn streams_beside_a_crashing_request_are_not_quarantined() {
     let now = Instant::now();
     let mut pool = pool(now, 8);
     let mut quarantine = Quarantine::default();
     let cause = 0_u64;
-    let request = |number: u64| Fingerprint::of(&[&number.to_le_bytes()]);
+    let fingerprint = |number: u64| Fingerprint::of(&[&number.to_le_bytes()]);
     let mut number = 0;
     for crash in 0..3 {
         let at = now + Duration::from_millis(200 * crash);
-        let mut on_the_engine = Vec::new();
+        let mut placed = Vec::new();
         let mut ended = None;
         for n in 0..10 {
-            let crashes = quarantine.crashes_of(request(n)).len();
-            let ask = PassAsk {
+            let crashes = quarantine.crashes_of(fingerprint(n)).len();
+            let request = PlacementRequest {
                 suspect: (crashes > 0).then(|| Suspect {
-                    request: request(n),
-                    keeps_apart: quarantine.is_one_crash_from_quarantine(now, request(n)),
+                    fingerprint: fingerprint(n),
+                    needs_isolation: quarantine.is_one_crash_from_quarantine(now, fingerprint(n)),
                 }),
-                ..ask(at, number, 3000)
+                ..request(at, number, 3000)
             };
             // All wait in one moment; some find no engine of their own.
-            let grant = place(&mut pool, at, ask);
+            let grant = place(&mut pool, at, request);
             if n == cause {
                 ended = grant.as_ref().map(|g| g.lead.clone());
             }
-            on_the_engine.extend(grant.map(|g| (n, number, g.lead)));
+            placed.extend(grant.map(|g| (n, number, g.lead)));
             number += 1;
         }
         let ended = ended.expect("the first one finds an engine");
-        for (n, number, lead) in on_the_engine {
+        for (n, number, lead) in placed {
             if lead == ended {
-                quarantine.observe_crash(at, request(n), crash, at);
+                quarantine.observe_crash(at, fingerprint(n), crash, at);
             }
-            pool.end(at, id(number), &PassOutcome::Cancelled);
+            pool.end(at, id(number), &StreamOutcome::Cancelled);
         }
         // Those that found no engine have left.
         for left in 0..number {
-            pool.end(at, id(left), &PassOutcome::Cancelled);
+            pool.end(at, id(left), &StreamOutcome::Cancelled);
         }
     }
     for n in 0..10 {
-        let standing = quarantine.status(now + Duration::from_secs(1), request(n));
+        let standing = quarantine.status(now + Duration::from_secs(1), fingerprint(n));
         assert_eq!(standing.is_quarantined(), n == cause, "request {n}");
     }
 }
@@ -130,23 +130,23 @@
 /// Whether an engine survives a whole answer is looked at a moment later. The cause came to the engine within that
 /// moment and ended it, which was held against the sound stream too.
 #[tokio::test(start_paused = true)]
-async fn an_engine_is_kept_apart_until_it_has_survived_a_suspect() {
+async fn an_engine_stays_isolated_until_it_has_survived_a_suspect() {
     let now = Instant::now();
     let mut pool = pool(now, 1);
-    let apart = |at, number, request| {
-        let mut ask = suspect(at, number, request);
-        ask.suspect = ask.suspect.map(|s| Suspect {
-            keeps_apart: true,
+    let isolated = |at, number, fingerprint| {
+        let mut request = suspect(at, number, fingerprint);
+        request.suspect = request.suspect.map(|s| Suspect {
+            needs_isolation: true,
             ..s
         });
-        ask
+        request
     };
-    assert!(place(&mut pool, now, apart(now, 1, 1)).is_some());
-    pool.end(now, id(1), &PassOutcome::Done);
+    assert!(place(&mut pool, now, isolated(now, 1, 1)).is_some());
+    pool.end(now, id(1), &StreamOutcome::Done);
     let soon = now + Duration::from_millis(60);
-    assert!(place(&mut pool, soon, apart(soon, 2, 2)).is_none());
+    assert!(place(&mut pool, soon, isolated(soon, 2, 2)).is_none());
     // Others are not held up by it.
     assert!(start(&mut pool, soon, 3, 3000).is_some());
     let later = now + Duration::from_millis(120);
-    assert_eq!(grants(&mut pool, later).len(), 1);
+    assert_eq!(dispatch(&mut pool, later).len(), 1);
 }
--- a/crates/azuresaddle-standin/src/passes/world.rs
+++ b/crates/azuresaddle-standin/src/passes/world.rs
@@ -12,7 +12,9 @@
 use std::time::Duration;
 
 use azuresaddle_core::prelude::*;
-use azuresaddle_sched::passes::{AskId, PassAsk, PassDecision, PassGrant, PassOutcome};
+use azuresaddle_sched::passes::{
+    PlacementDecision, PlacementGrant, PlacementId, PlacementRequest, StreamOutcome,
+};
 use azuresaddle_sched::quarantine::Quarantine;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -70,11 +72,11 @@
 #[derive(Clone, Debug, Default)]
 struct Stream {
     /// What was asked, until the end is known.
-    ask: Option<PassAsk>,
+    ask: Option<PlacementRequest>,
     /// The placer that was asked.
     placer: usize,
     /// Where it runs, and when its first event is expected.
-    grant: Option<(PassGrant, Instant)>,
+    grant: Option<(PlacementGrant, Instant)>,
     engines: Vec<usize>,
     parts_left: usize,
     first_at: Option<f64>,
@@ -201,7 +203,7 @@
                 Event::EndKnown(i) => {
                     let now = self.instant(at_ms);
                     if let Some(placer) = self.placer_of(i) {
-                        placer.pool.end(now, ask_id(i), &PassOutcome::Done);
+                        placer.pool.end(now, ask_id(i), &StreamOutcome::Done);
                     }
                     self.streams[i].ask = None;
                 }
@@ -242,7 +244,7 @@
         }
         let suspect = self.suspect(at_ms, i);
         let after = |ms: f64| now + Duration::from_secs_f64(ms / 1000.0);
-        let ask = PassAsk {
+        let ask = PlacementRequest {
             id: ask_id(i),
             account: ClientAccount::new(format!("account-{}", request.account)),
             domain: FailureDomain::new("d1"),
@@ -280,7 +282,7 @@
         let pool = &mut self.placers[index].pool;
         pool.dispatch(now);
         let decisions = pool.take_decisions();
-        let questions = pool.take_pace_questions(now);
+        let questions = pool.take_pace_probes(now);
         let wake = pool.next_wakeup(now);
         for name in questions {
             if let Some(engine) = self.names.iter().position(|n| *n == name) {
@@ -291,14 +293,14 @@
         for (id, decision) in decisions {
             let i = id.number as usize;
             match decision {
-                PassDecision::Granted(_) if self.is_quarantined(at_ms, i) => {
+                PlacementDecision::Granted(_) if self.is_quarantined(at_ms, i) => {
                     let now = self.instant(at_ms);
                     self.streams[i].ask = None;
                     let pool = &mut self.placers[index].pool;
-                    pool.end(now, id, &PassOutcome::Cancelled);
+                    pool.end(now, id, &StreamOutcome::Cancelled);
                 }
-                PassDecision::Granted(grant) => self.start(at_ms, i, &grant),
-                PassDecision::Refused { .. } => {
+                PlacementDecision::Granted(grant) => self.start(at_ms, i, &grant),
+                PlacementDecision::Refused { .. } => {
                     self.streams[i].refused_at = Some(at_ms);
                     self.streams[i].ask = None;
                 }
@@ -314,7 +316,7 @@
         }
     }
 
-    fn start(&mut self, at_ms: f64, i: usize, grant: &PassGrant) {
+    fn start(&mut self, at_ms: f64, i: usize, grant: &PlacementGrant) {
         let index = |name: &HostName| self.names.iter().position(|n| n == name);
         let all = std::iter::once(&grant.lead).chain(&grant.helpers);
         self.streams[i].engines = all.filter_map(index).collect();
@@ -331,8 +333,8 @@
         .max(8.0 * kind.pause_ms)
 }
 
-fn ask_id(i: usize) -> AskId {
-    AskId {
+fn ask_id(i: usize) -> PlacementId {
+    PlacementId {
         node: NODE,
         number: i as u64,
     }
--- a/crates/azuresaddle-standin/src/passes/world/crashes.rs
+++ b/crates/azuresaddle-standin/src/passes/world/crashes.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use azuresaddle_core::prelude::*;
-use azuresaddle_sched::passes::{PassOutcome, Suspect};
+use azuresaddle_sched::passes::{StreamOutcome, Suspect};
 use azuresaddle_sched::quarantine::RequestStatus;
 
 use super::{Event, Stream, TO_OWNER_MS, World, ask_id};
@@ -42,8 +42,8 @@
         let now = self.instant(at_ms);
         let is_suspect = self.quarantine.status(now, request) != RequestStatus::Clear;
         is_suspect.then(|| Suspect {
-            request,
-            keeps_apart: self.quarantine.is_one_crash_from_quarantine(now, request),
+            fingerprint: request,
+            needs_isolation: self.quarantine.is_one_crash_from_quarantine(now, request),
         })
     }
 
@@ -86,7 +86,7 @@
         if let Some(placer) = self.placer_of(i) {
             placer
                 .pool
-                .end(now, ask_id(i), &PassOutcome::TargetFailed(name));
+                .end(now, ask_id(i), &StreamOutcome::TargetFailed(name));
         }
         self.streams[i].grant = None;
         self.streams[i].runs += 1;
@@ -103,7 +103,7 @@
         if let Some(placer) = self.placer_of(i) {
             placer
                 .pool
-                .end(now, ask_id(i), &PassOutcome::TargetRefused(name));
+                .end(now, ask_id(i), &StreamOutcome::TargetRefused(name));
         }
         self.push(at_ms + TO_OWNER_MS, Event::AskAgain(i));
     }
--- a/crates/azuresaddle-standin/src/passes/world/limits.rs
+++ b/crates/azuresaddle-standin/src/passes/world/limits.rs
@@ -17,7 +17,7 @@
         let now = self.instant(at_ms);
         let mut placers = std::mem::take(&mut self.placers);
         for (index, placer) in placers.iter_mut().enumerate() {
-            placer.pool.set_placing(now, index < self.pools());
+            placer.pool.set_owner(now, index < self.pools());
             self.apply_limits(now, &mut placer.pool);
         }
         self.placers = placers;
--- a/crates/azuresaddle-standin/src/passes/world/placer.rs
+++ b/crates/azuresaddle-standin/src/passes/world/placer.rs
@@ -109,7 +109,7 @@
     fn cost(&self, placer: usize, is_long: bool) -> f64 {
         let load = &self.placers[placer].published;
         if is_long {
-            load.reading_ms_per_engine()
+            load.prefill_ms_per_engine()
         } else {
             load.stream_share()
         }
--- a/crates/azuresaddle-standin/src/passes/world/takeover.rs
+++ b/crates/azuresaddle-standin/src/passes/world/takeover.rs
@@ -68,7 +68,7 @@
             prompt_tokens: ask.prompt_tokens,
             answer_tokens: ask.answer_tokens,
             pause: ask.pause,
-            is_writing,
+            is_decoding: is_writing,
             first_event_in: first_event_at.saturating_duration_since(now),
             suspect: ask.suspect,
         })
