--- a/crates/azuresaddle-sched/benches/passes.rs
+++ b/crates/azuresaddle-sched/benches/passes.rs
@@ -1,4 +1,4 @@
-//! Cost of a placement on engines that work in passes.
+//! Cost of a placement on engines that process their work in passes.
 #![allow(
     missing_docs,
     reason = "criterion generates items without documentation"
@@ -49,7 +49,7 @@
                 let name = HostName::new(format!("e{n}"));
                 pool.upsert_engine(now, &name, &FailureDomain::new("d1"), false);
             }
-            // Far too long to begin, so that all of them stay.
+            // Far too long to start, so all of them stay queued.
             for n in 0..waiting {
                 pool.enqueue(now, request(now, 1_000_000 + n, 4_000_000));
             }
@@ -71,7 +71,7 @@
     }
 }
 
-/// A round in which every engine is full and as many short prompts wait.
+/// A dispatch in which every engine is full and short prompts wait.
 fn dispatch_to_full_engines(c: &mut Criterion) {
     for (engines, waiting) in [(18, 20), (150, 100)] {
         let now = Instant::now();
@@ -80,7 +80,7 @@
             let name = HostName::new(format!("e{n}"));
             pool.upsert_engine(now, &name, &FailureDomain::new("d1"), false);
         }
-        // Far more than there are slots; the last ones stay.
+        // Far more than there are slots; the last ones stay queued.
         for n in 0..engines * 20 + waiting {
             let mut request = request(now, n, 3000);
             request.first_event_by = now + Duration::from_millis(300);
--- a/crates/azuresaddle-sched/src/passes/engine.rs
+++ b/crates/azuresaddle-sched/src/passes/engine.rs
@@ -1,4 +1,4 @@
-//! What is believed of one engine.
+//! Estimated state of one engine.
 
 use std::time::Duration;
 
@@ -18,73 +18,73 @@
     pub(super) struct EngineKey;
 }
 
-/// Part of the longest pause that a pass may take; the rest covers the way to the caller and the
-/// error of the estimate.
+/// Fraction of the longest pause that a pass may take. The rest covers the path to the caller and
+/// errors of the estimate.
 const PAUSE_SHARE: f64 = 0.72;
 
-/// Longest pauses that a pass may take although its streams are late: nodes take a target that is
-/// silent for nearly twice as long for dead.
+/// Longest pass, in pauses, for streams that are late already. Nodes consider a target dead after a
+/// silence of nearly twice that.
 const MAX_STALL_PAUSES: f64 = 3.5;
 
-/// Time kept of each pause for the node and the network, in milliseconds.
+/// Part of each pause that is reserved for the node and the network, in milliseconds.
 const PAUSE_MARGIN_MS: f64 = 12.0;
 
-/// A stream whose answer an engine writes, or will.
+/// A stream whose answer an engine decodes or will decode.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LedStream {
     pub(super) id: PlacementId,
-    /// Memory that it may come to hold here, in tokens.
+    /// Maximum memory that it will hold here, in tokens.
     pub(super) memory_tokens: u64,
-    /// Context that each of its steps costs, in tokens.
+    /// Context length that each of its decode steps processes, in tokens.
     pub(super) context_tokens: u64,
-    /// Length of its whole prompt, in tokens; stands for what the answer is worth.
+    /// Length of its whole prompt, in tokens; stands in for the value of the answer.
     pub(super) prompt_tokens: u64,
     pub(super) pause: Duration,
     pub(super) is_decoding: bool,
-    /// Whether it shares no engine with another such.
+    /// Whether it must not share an engine with another such suspect.
     pub(super) needs_isolation: bool,
-    /// Whether the answer is late already, so that a longer pause takes nothing more from it.
+    /// Whether the answer is late already, so that a longer pause does no further harm.
     pub(super) is_late: bool,
 }
 
 impl LedStream {
-    /// Whether a pass of that time makes the answer late.
+    /// Whether a pass of that duration makes the answer late.
     fn is_delayed_by(&self, pass_ms: f64) -> bool {
         !self.is_late && max_pass_ms(self.pause) < pass_ms
     }
 }
 
-/// A part of a prompt that an engine reads for another.
+/// A prompt part that an engine prefills for another engine.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct HelperPart {
     pub(super) id: PlacementId,
     /// Memory held here for the stream, in tokens.
     pub(super) memory_tokens: u64,
-    /// Whether the first event has come, so that only the memory is still used.
+    /// Whether the first event has arrived, after which only the memory is still in use.
     pub(super) is_prefilled: bool,
 }
 
-/// One engine.
+/// Estimated state of an engine: its streams, passes, speed and limits.
 #[derive(Debug)]
 pub(super) struct Engine {
     pub(super) name: HostName,
     pub(super) domain: FailureDomain,
-    /// The start that all of this is about.
+    /// Start of the engine process to which this state belongs.
     pub(super) started: TargetStart,
     pub(super) led_streams: Vec<LedStream>,
     pub(super) helper_parts: Vec<HelperPart>,
-    /// When the pass that is believed to run ends; in the past where none runs.
+    /// Estimated end of the current pass; in the past if none runs.
     pub(super) pass_ends_at: Instant,
-    /// When the last pass that reads is believed to end.
+    /// Estimated end of the last pass that includes prefill.
     pub(super) prefill_until: Instant,
-    /// Reading that waits for the next pass, in milliseconds.
+    /// Prefill queued for the next pass, in milliseconds.
     pub(super) queued_prefill_ms: f64,
-    /// A read that was begun for an earlier owner, and when it is expected to end.
+    /// A prefill started under an earlier owner, and its expected end.
     inherited_prefill: Option<(PlacementId, Instant)>,
     pub(super) pace: Pace,
     pub(super) leaving: bool,
     pub(super) breaker: Breaker,
-    /// Until when a suspect that keeps apart from others may not come here, although none runs.
+    /// Until when suspects that need isolation are kept away although none runs here.
     isolated_until: Instant,
     /// Its rate limit; `None` if it has none.
     pub(super) rate: Option<RateBucket>,
@@ -110,13 +110,13 @@
         }
     }
 
-    /// Whether new work may go here.
+    /// Whether the engine accepts new work.
     pub(super) fn accepts_work(&self, now: Instant) -> bool {
         self.accepts_work_ignoring_rate_limit(now)
             && self.rate.is_none_or(|rate| rate.has_token(now))
     }
 
-    /// Whether new work may go here, apart from the rate limit.
+    /// Whether the engine accepts new work, leaving its rate limit aside.
     pub(super) fn accepts_work_ignoring_rate_limit(&self, now: Instant) -> bool {
         !self.leaving
             && self
@@ -124,14 +124,14 @@
                 .allows(now, self.led_streams.len() + self.helper_parts.len())
     }
 
-    /// Counts a stream, or a part of one, against the engine's own limit.
+    /// Counts a stream, or a part of one, against the engine's rate limit.
     pub(super) fn take_rate_token(&mut self, now: Instant) {
         if let Some(rate) = &mut self.rate {
             rate.take(now);
         }
     }
 
-    /// Memory that is not promised, in tokens.
+    /// Memory that is not reserved, in tokens.
     pub(super) fn free_tokens(&self, spec: &EngineSpec) -> u64 {
         let led: u64 = self.led_streams.iter().map(|l| l.memory_tokens).sum();
         let lent: u64 = self.helper_parts.iter().map(|h| h.memory_tokens).sum();
@@ -142,27 +142,26 @@
         self.led_streams.len() < spec.slots as usize
     }
 
-    /// Whether one more part may be read here for another engine.
+    /// Whether one more part may be prefilled here for another engine.
     pub(super) fn can_help(&self, spec: &EngineSpec) -> bool {
         let prefilling = self.helper_parts.iter().filter(|h| !h.is_prefilled).count();
         prefilling < spec.slots as usize
     }
 
-    /// Time of a pass's token steps once all present streams write, in milliseconds.
+    /// Duration of the decode steps of a pass once all present streams decode, in milliseconds.
     pub(super) fn decode_ms(&self, spec: &EngineSpec) -> f64 {
         let context = self.led_streams.iter().map(|l| l.context_tokens).sum();
         spec.decode_ms(self.led_streams.len(), context) * self.pace.factor()
     }
 
-    /// Longest pass that keeps the pauses of all streams here, in milliseconds.
+    /// Longest pass that makes no stream here late, in milliseconds.
     pub(super) fn max_pass_ms(&self) -> f64 {
         let on_time = self.led_streams.iter().filter(|l| !l.is_late);
         let pauses = on_time.map(|l| l.pause);
         pauses.min().map_or(f64::INFINITY, max_pass_ms)
     }
 
-    /// Longest pass that lets no stream here fall silent for long, late ones among them, in
-    /// milliseconds.
+    /// Longest pass that stalls no stream here, late ones included, in milliseconds.
     pub(super) fn max_pass_ms_before_stall(&self) -> f64 {
         let pauses = self.led_streams.iter().map(|l| l.pause);
         pauses.min().map_or(f64::INFINITY, |pause| {
@@ -170,31 +169,33 @@
         })
     }
 
-    /// Prompt tokens of the streams here that a pass of that time makes late.
+    /// Prompt tokens of the streams here that a pass of that duration makes late.
     pub(super) fn delayed_tokens(&self, pass_ms: f64) -> u64 {
         let delayed = self.led_streams.iter().filter(|l| l.is_delayed_by(pass_ms));
         delayed.map(|l| l.prompt_tokens).sum()
     }
 
-    /// Notes that a pass of that time comes.
+    /// Marks the streams that a coming pass of that duration makes late.
     pub(super) fn on_pass_planned(&mut self, pass_ms: f64) {
         for stream in &mut self.led_streams {
             stream.is_late |= stream.is_delayed_by(pass_ms);
         }
     }
 
-    /// Streams here whose pause is at most `pause`.
+    /// Number of streams here whose longest pause is at most `pause`.
     pub(super) fn count_with_pause(&self, pause: Duration) -> usize {
         self.led_streams.iter().filter(|l| l.pause <= pause).count()
     }
 
-    /// Whether a suspect that keeps apart from others may not come here.
+    /// Whether another suspect that needs isolation must not be placed here.
     pub(super) fn is_isolated(&self, now: Instant) -> bool {
         now < self.isolated_until || self.led_streams.iter().any(|l| l.needs_isolation)
     }
 
-    /// Notes a whole answer. Whether the engine survives it is known a moment later; another suspect that ends the engine
-    /// within that moment would be taken for this one.
+    /// Records a complete answer.
+    ///
+    /// Whether the engine survives the request is known only a moment later. If another suspect
+    /// crashed the engine within that moment, the crash would be blamed on this request too.
     pub(super) fn on_whole_answer(&mut self, now: Instant, id: PlacementId) {
         let stream = self.led_streams.iter().find(|l| l.id == id);
         if stream.is_some_and(|l| l.needs_isolation) {
@@ -202,7 +203,7 @@
         }
     }
 
-    /// Brings the estimate of passes up to `now`.
+    /// Advances the estimated passes to `now`.
     pub(super) fn advance(&mut self, now: Instant, spec: &EngineSpec) {
         while self.pass_ends_at <= now {
             let decoding = self.led_streams.iter().filter(|l| l.is_decoding);
@@ -216,7 +217,7 @@
             self.queued_prefill_ms = 0.0;
             let start = if is_idle { now } else { self.pass_ends_at };
             let length = Duration::from_secs_f64(ms.max(1.0) / 1000.0);
-            // A stretch that was not followed is made up by whole passes.
+            // Time that was not tracked is filled with whole passes.
             self.pass_ends_at = start + length;
             if has_prefill {
                 self.prefill_until = self.pass_ends_at;
@@ -229,19 +230,19 @@
         }
     }
 
-    /// Whether a part that is sent now may come to be read in one pass with another.
+    /// Whether a part that is sent now could share a pass with another part.
     ///
-    /// All parts that wait when a pass begins are read in it, and none is done before its end. When exactly an engine
-    /// begins is not known here, so a longer part that follows within a tenth of a second delays a short one by its
-    /// whole read.
+    /// All parts that wait when a pass begins are prefilled in it, and none completes before its
+    /// end. The exact start of a pass is not known here, so a longer part that follows within a
+    /// tenth of a second delays a short one by its whole prefill.
     pub(super) fn is_prefilling(&self, now: Instant) -> bool {
         self.queued_prefill_ms > 0.0 || self.prefill_until > now
     }
 
-    /// Notes a read that was begun for an earlier owner.
+    /// Records a prefill that was started under an earlier owner.
     ///
-    /// Engines that seemed idle got parts of every prompt for as long as the read went on: after a
-    /// change of owner the short streams of two seconds were late.
+    /// Without this, engines that seemed idle received parts of every prompt while the prefill went
+    /// on: after a change of owner, short streams were late for two seconds.
     pub(super) fn inherit_prefill(&mut self, id: PlacementId, ends: Instant) {
         if ends <= self.prefill_until {
             return;
@@ -251,7 +252,7 @@
         self.inherited_prefill = Some((id, ends));
     }
 
-    /// Notes that a read for an earlier owner is over, where it was still expected to go on.
+    /// Ends a prefill of an earlier owner that was still expected to continue.
     pub(super) fn end_inherited_prefill(&mut self, now: Instant, id: PlacementId) {
         let Some((inherited, ends)) = self.inherited_prefill else {
             return;
@@ -271,25 +272,26 @@
         self.pass_ends_at.saturating_duration_since(now)
     }
 
-    /// Takes a part of a prompt for the next pass.
+    /// Queues a prompt part for the next pass.
     pub(super) fn add_prefill(&mut self, now: Instant, spec: &EngineSpec, prefill_ms: f64) {
         self.queued_prefill_ms += prefill_ms * self.pace.factor();
         self.advance(now, spec);
     }
 
-    /// Time of the next pass with `read_ms` more to read and all present streams writing, in
-    /// milliseconds.
+    /// Duration of the next pass with `prefill_ms` of additional prefill and all present streams
+    /// decoding, in milliseconds.
     pub(super) fn next_pass_ms(&self, spec: &EngineSpec, prefill_ms: f64) -> f64 {
         self.decode_ms(spec) + self.queued_prefill_ms + prefill_ms * self.pace.factor()
     }
 
-    /// Reading that the next pass can still take without making a stream late, in milliseconds.
+    /// Additional prefill that the next pass can take without making a stream late, in
+    /// milliseconds.
     pub(super) fn headroom_ms(&self, spec: &EngineSpec) -> f64 {
         let longest = self.max_pass_ms().min(self.max_pass_ms_before_stall());
         (longest - self.decode_ms(spec) - self.queued_prefill_ms) / self.pace.factor()
     }
 
-    /// Reading that the next pass can still take without silencing a stream, in milliseconds.
+    /// Additional prefill that the next pass can take without stalling a stream, in milliseconds.
     pub(super) fn stall_headroom_ms(&self, spec: &EngineSpec) -> f64 {
         (self.max_pass_ms_before_stall() - self.decode_ms(spec) - self.queued_prefill_ms)
             / self.pace.factor()
--- a/crates/azuresaddle-sched/src/passes/long_candidates.rs
+++ b/crates/azuresaddle-sched/src/passes/long_candidates.rs
@@ -1,4 +1,4 @@
-//! Engines that could read parts of a long prompt.
+//! Engines that could prefill parts of a long prompt.
 
 use std::borrow::Cow;
 
@@ -6,47 +6,49 @@
 use super::pool_view::PoolView;
 use super::request::PlacementRequest;
 
-/// Engines that are considered for a prompt, the soonest ones: several times as many as may take part,
-/// so that the cost of a plan does not grow with the pool.
+/// Number of engines considered for a prompt, earliest available first. It is several times the
+/// number that may take part, and bounds the cost of a plan in large pools.
 const MAX_CONSIDERED: usize = 64;
 
-/// Longest part that may come to be read together with another, in milliseconds.
+/// Longest part that may share a pass with another part, in milliseconds.
 const MAX_SHARED_PASS_PART_MS: f64 = 50.0;
 
-/// An engine that could read a part.
+/// An engine that could prefill a part.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LongCandidate {
     pub(super) key: EngineKey,
-    /// Milliseconds until its next pass.
+    /// Time until its next pass, in milliseconds.
     pub(super) start_ms: f64,
-    /// Time of that pass without the part, in milliseconds.
+    /// Duration of that pass without the part, in milliseconds.
     pub(super) base_ms: f64,
     /// Longest part that makes no stream late, in milliseconds.
     pub(super) headroom_ms: f64,
-    /// Longest part that silences no stream, in milliseconds.
+    /// Longest part that stalls no stream, late ones included, in milliseconds.
     pub(super) stall_headroom_ms: f64,
-    /// Whether a part may come to be read together with another.
+    /// Whether a part could share a pass with another part.
     pub(super) is_prefilling: bool,
-    /// Longest pass that the streams there bear, in milliseconds.
+    /// Longest pass that keeps the pauses of the streams there, in milliseconds.
     pub(super) max_pass_ms: f64,
     pub(super) free_tokens: u64,
-    /// Time of its work against that of a usual engine.
+    /// Slowdown relative to a reference engine; 1 for full speed.
     pub(super) pace_factor: f64,
     pub(super) is_slow: bool,
-    /// Streams that are written there, or will be.
+    /// Number of streams that this engine decodes or will decode.
     pub(super) led_stream_count: usize,
     pub(super) can_lead: bool,
 }
 
-/// The engines that could read parts, as they are at one moment.
+/// Snapshot of the engines that could prefill parts.
 ///
-/// Built once for all prompts that are tried in a round, since most of them find no room under load.
+/// Built once for all prompts that are tried in a dispatch, since under load most of them find no
+/// capacity.
 #[derive(Clone, Debug)]
 pub(super) struct LongCandidates(Vec<LongCandidate>);
 
 impl LongCandidates {
-    /// All open engines, soonest first, slow ones last, since all parts wait for the slowest; among
-    /// equals the ones with most room, which run no short streams.
+    /// Collects all engines that accept work: earliest available first, then those with the most
+    /// headroom, which run no short streams. Slow engines come last, since the first event waits
+    /// for the slowest part.
     pub(super) fn new(view: &PoolView<'_>) -> Self {
         let mut all = candidates(view);
         all.sort_by(|a, b| {
@@ -58,7 +60,7 @@
         Self(all)
     }
 
-    /// Those that an ask does not exclude.
+    /// Returns the candidates that the request may use.
     pub(super) fn for_request(
         &self,
         view: &PoolView<'_>,
--- a/crates/azuresaddle-sched/src/passes/long_load.rs
+++ b/crates/azuresaddle-sched/src/passes/long_load.rs
@@ -1,32 +1,33 @@
-//! Recent arrivals of long prompts, to tell how long a new one would wait.
+//! Recent arrivals of long prompts, used to estimate how long a new one will wait.
 //!
-//! Answers the pattern of an overload: prompts that read quicker find room sooner, and while they ask
-//! for nearly all engines, a very long one waits until the load ends. Held to the end it would have
-//! cost its caller all of its time for nothing.
+//! In an overload, prompts with a shorter prefill find capacity first. While they need nearly all
+//! engines, a very long prompt waits until the overload ends; holding it that long would use up its
+//! caller's time for nothing.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Time over which arrivals count: long enough for a dozen, short enough to see a change of load.
+/// Time window over which arrivals count: long enough for about a dozen, short enough to notice a
+/// change of load.
 const WINDOW: Duration = Duration::from_secs(4);
 
-/// Part of the engines' time that long prompts can't use, since answers are written.
+/// Fraction of the engines' time that goes to decoding and is not available for long prompts.
 const DECODE_SHARE: f64 = 0.3;
 
-/// Least part of the engines that a prompt is expected to find however high the load; a lower one refuses the
-/// largest prompts at once.
+/// Minimum fraction of the engines that a prompt is expected to get under any load. A lower value
+/// refuses the largest prompts at once.
 const MIN_FREE_SHARE: f64 = 0.2;
 
-/// Arrivals within the window.
+/// Arrivals of long prompts within the window.
 #[derive(Debug, Default)]
 pub(super) struct LongLoad {
     arrivals: VecDeque<(Instant, f64)>,
 }
 
 impl LongLoad {
-    /// Notes a long prompt.
+    /// Records the arrival of a long prompt that takes `prefill_ms` milliseconds on one engine.
     pub(super) fn on_arrival(&mut self, now: Instant, prefill_ms: f64) {
         self.arrivals.push_back((now, prefill_ms));
         while self
@@ -38,7 +39,7 @@
         }
     }
 
-    /// Part of the engines that a prompt can expect, beside those that read quicker.
+    /// Fraction of the engines left to a prompt by those with a shorter prefill.
     pub(super) fn free_share(&self, now: Instant, prefill_ms: f64, engines: usize) -> f64 {
         let recent = self
             .arrivals
--- a/crates/azuresaddle-sched/src/passes/long_plan.rs
+++ b/crates/azuresaddle-sched/src/passes/long_plan.rs
@@ -1,8 +1,8 @@
 //! Placement of prompts that are split over several engines.
 //!
-//! Answers the pattern of prompts that take seconds to read: one after the other is read by as many
-//! engines as end it soonest, which delays the others less than reading several side by side, and
-//! every part must fit in a pass that the streams of its engine can bear.
+//! Prompts that take seconds to prefill are handled one after the other, each on the number of
+//! engines that completes it soonest. This delays the others less than prefilling several side by
+//! side. Every part must fit into a pass that the streams of its engine tolerate.
 
 use std::time::Duration;
 
@@ -15,51 +15,53 @@
 use super::pool_view::PoolView;
 use super::request::PlacementRequest;
 
-/// Engines that one prompt may be read by, by the engines' interface: one and 16 helpers.
+/// Maximum number of engines for one prompt, set by the engines' interface: one lead and 16
+/// helpers.
 pub(super) const MAX_ENGINES_PER_PROMPT: usize = 17;
 
-/// Time by which one more engine must bring the end nearer, in milliseconds: its own share of
-/// waiting for a pass and of messages.
+/// Minimum gain from one more engine, in milliseconds; covers its own wait for a pass and its
+/// messages.
 const HELPER_COST_MS: f64 = 2.0;
 
-/// Longest part of a prompt that is late anyway, in milliseconds; it waits for more engines rather
-/// than keep a few from prompts that can still be on time.
+/// Longest part of a prompt that is late in any case, in milliseconds. Such a prompt waits for more
+/// engines rather than take a few from prompts that can still be on time.
 const MAX_LATE_PART_MS: f64 = 1000.0;
 
-/// Time before the caller gives up from which a late prompt takes any engines that end it in time.
+/// Time before the caller gives up, from which a late prompt takes any engines that complete it in
+/// time.
 const GIVE_UP_MARGIN: Duration = Duration::from_secs(4);
 
-/// Time by which a plan that writes on an engine of its own must end sooner, in milliseconds: a part
-/// of the passes that it takes from that engine.
+/// Minimum gain from a plan that decodes on an engine without other streams, in milliseconds;
+/// accounts for the passes that it takes from that engine.
 const LONE_DECODE_COST_MS: f64 = 200.0;
 
-/// Time that 1,000 prompt tokens of streams made late must bring the end nearer, in milliseconds.
+/// Minimum gain per 1,000 prompt tokens of streams that are made late, in milliseconds.
 const DELAY_COST_MS_PER_1K_TOKENS: f64 = 4.0;
 
-/// Longest time until all engines of a plan begin; a plan further ahead waits, so that a quicker
-/// prompt that arrives meanwhile can go first.
+/// Longest time until all engines of a plan begin, in milliseconds. Plans that begin later wait, so
+/// that a shorter prompt that arrives meanwhile can go first.
 const MAX_START_MS: f64 = 120.0;
 
-/// Longest time to the first event of a plan that reserves memory, in milliseconds: memory that was not
-/// used for 9 s counts as lost, and it may come to be used only when the prompt is read.
+/// Longest time to the first event of a plan that reserves memory, in milliseconds. Memory that is
+/// unused for 9 s counts as lost, and it may be used only once the prompt is prefilled.
 const MAX_RESERVED_FIRST_EVENT_MS: f64 = 7000.0;
 
-/// Engines for a long prompt.
+/// Engines for a prompt and the expected effect of using them.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct LongPlan {
-    /// The first engine leads.
+    /// The engines; the first one is the lead.
     pub(super) engines: Vec<EngineKey>,
-    /// Reading on each engine, in milliseconds.
+    /// Prefill on each engine, in milliseconds.
     pub(super) part_ms: f64,
-    /// Milliseconds until the last engine begins.
+    /// Time until the last engine begins, in milliseconds.
     pub(super) start_ms: f64,
-    /// Milliseconds to the first event.
+    /// Time to the first event, in milliseconds.
     pub(super) first_event_ms: f64,
     /// Memory to reserve on each helper, in tokens.
     pub(super) helper_memory_tokens: u64,
-    /// Prompt tokens of the streams that become late by it.
+    /// Prompt tokens of the streams that the plan makes late.
     pub(super) delayed_tokens: u64,
-    /// Whether nothing else is written on the leading engine.
+    /// Whether the lead has no other stream to decode.
     pub(super) lead_decodes_alone: bool,
 }
 
@@ -69,11 +71,11 @@
         now + Duration::from_secs_f64(self.first_event_ms / 1000.0) <= request.first_event_by
     }
 
-    /// Whether to begin now rather than to wait for more or sooner engines.
+    /// Whether to start now rather than wait for more or earlier engines.
     ///
-    /// A prompt that is left whole on the only free engine keeps it for seconds, so one that such a plan makes late
-    /// waits while more engines could still end it in time.
-    /// One that would end after its deadline never begins: it would keep engines for nothing.
+    /// A prompt that runs whole on the only free engine occupies it for seconds. If that plan makes
+    /// it late, it waits as long as more engines could still complete it in time. A plan that would
+    /// end after the deadline never starts, since it would occupy engines for nothing.
     pub(super) fn should_start(
         &self,
         now: Instant,
@@ -107,8 +109,8 @@
     }
 }
 
-/// The engines that end the reading soonest, and make streams of at most `broken_tokens` prompt
-/// tokens late by it; `None` where no set of engines can bear it.
+/// Plans the prefill that completes soonest and makes streams of at most `delayed_tokens` prompt
+/// tokens late. Returns `None` if no set of engines can take the prompt.
 pub(super) fn plan_long(
     view: &PoolView<'_>,
     candidates: &LongCandidates,
@@ -154,20 +156,20 @@
     best.map(|(_, plan)| plan)
 }
 
-/// One way to split a prompt.
+/// One way to split a prompt over engines.
 #[derive(Clone, Copy, Debug)]
 struct Split<'a> {
     /// Memory that the stream needs, in tokens.
     memory: u64,
     count: usize,
     part_ms: f64,
-    /// Most prompt tokens of streams that may be made late.
+    /// Maximum number of prompt tokens of streams that may be made late.
     delayed_tokens: u64,
     /// Failure domain of the node that will relay the answer.
     domain: &'a FailureDomain,
 }
 
-/// A plan with exactly as many engines.
+/// Plans with exactly `split.count` engines.
 fn plan_with(
     view: &PoolView<'_>,
     candidates: &[LongCandidate],
@@ -228,7 +230,7 @@
     !view.options.check_pauses || candidate.headroom_ms >= part_ms
 }
 
-/// The helpers that can begin soonest, those that make no stream late before the others.
+/// Chooses the helpers that can begin soonest; those that make no stream late come first.
 fn choose_helpers<'a>(
     view: &PoolView<'_>,
     helpers: &[&'a LongCandidate],
@@ -267,12 +269,13 @@
     engine.delayed_tokens(engine.next_pass_ms(view.spec, part_ms))
 }
 
-/// The engine that should write the answer.
+/// Chooses the engine that decodes the answer.
 ///
-/// Steps cost nearly the same for one stream as for sixteen, and a writing stream bounds every
-/// later part on its engine. So the answer is written where others are written already, with the
-/// shortest pauses first, and engines without streams stay free for the longest parts: a review
-/// that is written alone takes four times the engine's time that its prompt takes to read.
+/// A decode step costs nearly the same for one stream as for sixteen, and a decoding stream limits
+/// every later part on its engine. So the answer is decoded where other streams already are,
+/// preferring those with the shortest pauses, and engines without streams stay free for the longest
+/// parts. Decoding the answer to a medium-length prompt alone takes four times the
+/// engine time that its prefill takes.
 fn best_lead<'a>(
     able: impl Iterator<Item = &'a LongCandidate>,
     is_local: impl Fn(&LongCandidate) -> bool,
--- a/crates/azuresaddle-sched/src/passes/mechanism.rs
+++ b/crates/azuresaddle-sched/src/passes/mechanism.rs
@@ -1,40 +1,41 @@
-//! Mechanisms of a pool that can be switched off.
+//! Mechanisms of a pool that can be switched off individually.
 
 use std::fmt;
 use std::str::FromStr;
 
 use super::options::PassOptions;
 
-/// A mechanism of a pool, by its name for operators.
+/// A mechanism of a pool, switched off by its name on the command line.
 ///
-/// All are on; one is switched off to measure what it is worth, or where it does harm.
+/// All are on by default. Switching one off shows what it contributes, and helps where it does
+/// harm.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mechanism {
-    /// Short streams share few engines.
+    /// Short streams are packed on few engines.
     Packing,
-    /// Parts are placed only where every pause is kept.
+    /// Parts are placed only where no stream exceeds its longest pause.
     PauseCheck,
-    /// Long prompts are read by several engines.
+    /// Long prompts are split over several engines.
     Splitting,
     /// Long prompts wait for more engines while that keeps them on time.
     WaitForEngines,
-    /// A few short streams are made late where that brings a long prompt home.
+    /// A few short streams are made late if that lets a long prompt be on time.
     BreakPauses,
-    /// What the load of late gives no chance is refused at once.
+    /// Requests that cannot be served under the recent load are refused at once.
     EarlyRefusal,
-    /// Short prompts are refused at once while so many wait that a new one would be late.
+    /// Short prompts are refused at once while the queue is so long that a new one would be late.
     CrowdRefusal,
-    /// Late short prompts wait for a place where they make no other late.
+    /// Late short prompts wait for a place where they make no other stream late.
     LateShortWait,
-    /// No part is sent to an engine that reads another.
+    /// No part is placed on an engine that is prefilling another one.
     ReadProtection,
-    /// Engines with overdue first events are asked for their pace.
+    /// Engines with overdue first events are probed for their pace.
     PaceChecks,
-    /// Waiting prompts take turns by client account, and floods are refused.
+    /// Client accounts share the engines fairly, and floods of one account are refused.
     FairShares,
-    /// Copies of a request that a target has ended under run one after the other.
+    /// Copies of a request that a target has crashed under run one after the other.
     SuspectTurns,
-    /// A new owner waits for the nodes to tell their streams.
+    /// A new owner waits until the nodes have reported their streams.
     HandoverWait,
 }
 
@@ -93,7 +94,7 @@
 }
 
 impl PassOptions {
-    /// The same with a mechanism switched off.
+    /// Returns the options with a mechanism switched off.
     #[must_use]
     pub fn without(mut self, mechanism: Mechanism) -> Self {
         let switch = match mechanism {
--- a/crates/azuresaddle-sched/src/passes/mod.rs
+++ b/crates/azuresaddle-sched/src/passes/mod.rs
@@ -1,8 +1,8 @@
-//! Placement on engines that work in passes.
+//! Placement of streams on engines that process their work in passes.
 //!
-//! A pass with writing streams runs a fixed number of token steps, and every prompt part that is
-//! read in it makes the pass longer for all of them. So a placement is a question of which passes
-//! may grow, and by how much.
+//! A pass runs a fixed number of decode steps for all streams of the engine. Prompt parts that are
+//! prefilled in the same pass make it longer for all of them, so placement decides which passes may
+//! get longer and by how much.
 
 mod engine;
 mod long_candidates;
--- a/crates/azuresaddle-sched/src/passes/options.rs
+++ b/crates/azuresaddle-sched/src/passes/options.rs
@@ -1,44 +1,45 @@
 //! Options of a pool of engines.
 
-/// What a pool does; each idea can be switched off to measure it.
+/// Options of a pool; mechanisms can be switched off to measure their effect.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PassOptions {
-    /// Longest read that counts as short, in milliseconds.
+    /// Longest prefill that counts as short, in milliseconds.
     pub short_prefill_ms: f64,
     /// Pack short streams on few engines; spread them otherwise.
     pub pack_short: bool,
-    /// Place parts only where every pause is kept.
+    /// Place parts only where no stream exceeds its longest pause.
     pub check_pauses: bool,
-    /// Split long prompts over engines; only what needs the memory of several otherwise.
+    /// Split long prompts over engines; otherwise split only those that exceed the memory of one.
     pub split_long: bool,
-    /// Long prompts that read quickest first; in the order of arrival otherwise.
+    /// Place long prompts with the shortest prefill first; in the order of arrival or fair share
+    /// otherwise.
     pub shortest_first: bool,
     /// Let long prompts wait for more engines while that keeps them on time.
     pub wait_for_engines: bool,
-    /// Make a few short streams late where that brings a long prompt home in time.
+    /// Make a few short streams late if that lets a long prompt be on time.
     pub break_pauses: bool,
-    /// Refuse at once what the load of late gives no chance.
+    /// Refuse at once what cannot be served under the recent load.
     pub refuse_early: bool,
-    /// Refuse short prompts at once while so many wait that a new one would be late.
+    /// Refuse short prompts at once while the queue is so long that a new one would be late.
     pub refuse_crowded: bool,
-    /// Keep parts from engines that are reading a prompt of their own.
+    /// Place no parts on engines that are already prefilling.
     pub protect_prefills: bool,
-    /// Ask engines for their pace where first events are overdue.
+    /// Probe engines for their pace when first events are overdue.
     pub check_pace: bool,
-    /// Give waiting prompts their turn by the shares of the client accounts.
+    /// Order waiting requests by the fair shares of their client accounts, and refuse floods.
     pub fair_shares: bool,
-    /// Let late short prompts wait for a place where they make no other late.
+    /// Let late short prompts wait for a place where they make no other stream late.
     pub late_short_wait: bool,
-    /// Let copies of a request that a target has ended under run one after the other.
+    /// Run copies of a request that a target has crashed under one after the other.
     pub suspects_in_turn: bool,
-    /// Let a new owner of the pool wait for the nodes to tell their streams.
+    /// Let a new owner of the pool wait until the nodes have reported their streams.
     pub handover_wait: bool,
 }
 
 impl Default for PassOptions {
     fn default() -> Self {
         Self {
-            // Two short prompts of the usual length; what takes longer is better split.
+            // Two short prompts of the usual length; longer prefills are better split.
             short_prefill_ms: 60.0,
             pack_short: true,
             check_pauses: true,
--- a/crates/azuresaddle-sched/src/passes/pace.rs
+++ b/crates/azuresaddle-sched/src/passes/pace.rs
@@ -1,32 +1,33 @@
-//! Speed of an engine against that of a usual one.
+//! Slowdown of an engine relative to a reference engine.
 //!
-//! Answers the pattern of an engine that turns slow without failing: every prompt with a part there
-//! waits for it. First events that are overdue raise a suspicion; the engine's own report settles it.
+//! An engine may become slow without failing, and every prompt with a part there then waits for it.
+//! An overdue first event makes its engines suspected of slowness, and a probe of the engine's own
+//! load report confirms or clears it.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Shortest time between two questions to one engine: its report is some hundred milliseconds old.
+/// Minimum time between two probes of one engine; its report is some hundred milliseconds old.
 const MIN_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Time after which a slow engine is asked again, so that it returns soon after it has recovered.
+/// Time after which a slow engine is probed again, so that it is used soon after it recovers.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(1000);
 
-/// Factor from which an engine counts as slow; the differences between sound ones are smaller.
+/// Factor from which an engine counts as slow. Healthy engines differ by less.
 const SLOW_FACTOR: f64 = 1.15;
 
-/// Largest factor that is believed; nothing can be placed on such an engine anyway.
+/// Upper limit for reported factors; nothing can be placed on such an engine in any case.
 const MAX_FACTOR: f64 = 50.0;
 
-/// Time by which a first event may come after the expectation, for the ways between engine, node
+/// Fixed tolerance for a first event beyond its expected time, for the path between engine, node
 /// and owner.
 const OVERDUE_SLACK: Duration = Duration::from_millis(45);
 
-/// Part of the expected time that is added to it.
+/// Additional tolerance, as a fraction of the expected time.
 const OVERDUE_SHARE: f64 = 0.25;
 
-/// What is known of an engine's speed.
+/// Known pace of an engine and the state of its probes.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Pace {
     factor: f64,
@@ -45,7 +46,7 @@
 }
 
 impl Pace {
-    /// Time of the engine's work against that of a usual engine.
+    /// Slowdown relative to a reference engine; 1 for full speed.
     pub(super) fn factor(&self) -> f64 {
         self.factor
     }
@@ -54,19 +55,19 @@
         self.factor >= SLOW_FACTOR
     }
 
-    /// Notes that a first event is overdue there.
+    /// Marks the engine as suspected of slowness after an overdue first event.
     pub(super) fn suspect(&mut self) {
         self.is_suspected = true;
     }
 
-    /// Takes the engine's own word; a factor that makes no sense is ignored.
+    /// Applies a factor reported by the engine; invalid values are ignored.
     pub(super) fn on_report(&mut self, factor: f64) {
         if factor.is_finite() && factor > 0.0 {
             self.factor = factor.clamp(1.0, MAX_FACTOR);
         }
     }
 
-    /// Whether the engine should be asked now.
+    /// Whether the engine should be probed now.
     pub(super) fn is_probe_due(&self, now: Instant) -> bool {
         let since = self
             .last_probe_at
@@ -80,19 +81,19 @@
         }
     }
 
-    /// When the engine was last asked.
+    /// Time of the last probe.
     pub(super) fn last_probe_at(&self) -> Option<Instant> {
         self.last_probe_at
     }
 
-    /// Notes that the engine is asked.
+    /// Records that the engine is being probed.
     pub(super) fn on_probe(&mut self, now: Instant) {
         self.is_suspected = false;
         self.last_probe_at = Some(now);
     }
 }
 
-/// When a first event counts as overdue that is expected after a time.
+/// Time at which a first event that is expected after `expected_in` counts as overdue.
 pub(super) fn overdue_at(now: Instant, expected_in: Duration) -> Instant {
     now + expected_in.mul_f64(1.0 + OVERDUE_SHARE) + OVERDUE_SLACK
 }
--- a/crates/azuresaddle-sched/src/passes/pool/load.rs
+++ b/crates/azuresaddle-sched/src/passes/pool/load.rs
@@ -1,6 +1,7 @@
-//! How loaded a pool is, as nodes that choose between pools would be told.
+//! Load of a pool, as it would be reported to nodes that choose between pools.
 //!
-//! The product has one pool a service; simulated runs weigh it against several by this figure.
+//! The product has one pool per service; simulations use this figure to compare that with several
+//! pools.
 
 use std::time::Duration;
 
@@ -11,30 +12,30 @@
 /// Load of a pool at one moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PoolLoad {
-    /// Slots of the engines that take new work.
+    /// Slots of the engines that accept new work.
     pub slots: usize,
-    /// Engines that take new work.
+    /// Number of engines that accept new work.
     pub engines: usize,
-    /// Streams that run or wait for a slot.
+    /// Number of streams that run or wait for a slot.
     pub streams: usize,
-    /// Reading that was begun or waits, over all engines.
+    /// Prefill that was started or waits, summed over all engines.
     pub prefill: Duration,
 }
 
 impl PoolLoad {
-    /// Part of the slots that is taken or waited for; above one where more is asked than there is.
+    /// Fraction of the slots that are occupied or waited for; above one if demand exceeds capacity.
     pub fn stream_share(&self) -> f64 {
         self.streams as f64 / self.slots.max(1) as f64
     }
 
-    /// Reading for each engine, in milliseconds.
+    /// Prefill per engine, in milliseconds.
     pub fn prefill_ms_per_engine(&self) -> f64 {
         self.prefill.as_secs_f64() * 1000.0 / self.engines.max(1) as f64
     }
 }
 
 impl PassPool {
-    /// The load at this moment.
+    /// Returns the current load.
     pub fn load(&self, now: Instant) -> PoolLoad {
         let engines = self.open_engines(now);
         let waiting = self.queue.iter();
--- a/crates/azuresaddle-sched/src/passes/pool/mod.rs
+++ b/crates/azuresaddle-sched/src/passes/pool/mod.rs
@@ -1,4 +1,4 @@
-//! A pool of engines: one queue, late binding, one ledger of streams.
+//! A pool of engines with one queue; requests are bound to engines only when they can start.
 
 mod load;
 mod pace_probes;
@@ -25,20 +25,21 @@
 use super::short_load::ShortLoad;
 use crate::fair_clock::FairClock;
 
-/// Shortest time between two rounds of placement while asks wait; a pass takes ten times that.
+/// Minimum time between two dispatches while requests wait; a pass takes ten times that.
 const MIN_DISPATCH_INTERVAL: Duration = Duration::from_millis(4);
 
-/// Longest time between two rounds while asks wait, in case an estimate is far off.
+/// Maximum time between two dispatches while requests wait, in case an estimate is far off.
 const MAX_DISPATCH_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Engines of a running stream.
+/// A running stream and the engines it was placed on.
 #[derive(Debug)]
 struct PlacedStream {
     lead: EngineKey,
     helpers: Vec<EngineKey>,
-    /// When the first event counts as overdue; `None` once it has come or was found overdue.
+    /// Time at which the first event counts as overdue; `None` once it has arrived or was found
+    /// overdue.
     overdue_at: Option<Instant>,
-    /// The request, where a target had ended while it had it.
+    /// Fingerprint of the request, if a target had crashed while it ran.
     suspect: Option<Fingerprint>,
 }
 
@@ -52,23 +53,23 @@
     queue: Queue,
     long_load: LongLoad,
     short_load: ShortLoad,
-    /// Since when a crowd of short prompts has waited; `None` where none does.
+    /// Since when at least `MIN_CROWD` short prompts have waited; `None` if fewer wait.
     crowd_since: Option<Instant>,
-    /// Turns of the client accounts among short and among long prompts.
+    /// Fair queueing of the client accounts, for short and for long prompts.
     fair: [FairClock; 2],
     placed_streams: HashMap<PlacementId, PlacedStream>,
     decisions: Vec<(PlacementId, PlacementDecision)>,
-    /// When all waiting asks are looked at again.
+    /// Next check of all waiting requests for refusal.
     next_refusal_check: Instant,
-    /// When all running streams are looked at again for overdue first events.
+    /// Next check of all running streams for overdue first events.
     next_overdue_check: Instant,
     probes: ProbeBudget,
-    /// Whether this node places for all; only then may it use engines that limit their rate.
+    /// Whether this node owns the pool. Only the owner may use engines with a rate limit.
     is_owner: bool,
 }
 
 impl PassPool {
-    /// An empty pool.
+    /// Creates an empty pool.
     pub fn new(options: PassOptions, spec: EngineSpec) -> Self {
         Self {
             options,
@@ -89,14 +90,14 @@
         }
     }
 
-    /// Takes new speeds and sizes.
+    /// Replaces the engines' specification.
     pub fn set_spec(&mut self, spec: &EngineSpec) {
         if self.spec != *spec {
             self.spec = spec.clone();
         }
     }
 
-    /// Adds an engine, or notes whether it is leaving.
+    /// Adds an engine, or updates whether it is leaving.
     pub fn upsert_engine(
         &mut self,
         now: Instant,
@@ -114,11 +115,12 @@
         self.names.insert(name.clone(), key);
     }
 
-    /// Notes which start of an engine says something of itself; false where it is an earlier one than
-    /// is known, whose word is worth nothing any more.
+    /// Records the start of the engine process that a report comes from. Returns false if the
+    /// engine is unknown or the report is from an earlier start than the known one, and must be
+    /// ignored.
     ///
-    /// An engine that has started again holds none of its streams and none of its memory, and what was
-    /// learned of its speed and its failures is about another process.
+    /// A restarted engine holds none of its streams and memory, and the recorded speed and failures
+    /// belong to the earlier process.
     pub fn note_start(&mut self, now: Instant, name: &HostName, started: TargetStart) -> bool {
         let Some(key) = self.names.get(name).copied() else {
             return false;
@@ -138,13 +140,13 @@
         engine.leaving = known.leaving;
         engine.started = started;
         self.engines.remove(key);
-        // Under a new key, so that what ends later for the streams of the earlier start finds nothing.
+        // A new key makes later ends of streams of the earlier start refer to no engine.
         let key = self.engines.insert(engine);
         self.names.insert(name.clone(), key);
         true
     }
 
-    /// Removes the engines that `keep` does not name.
+    /// Removes the engines for which `keep` returns false.
     pub fn retain_engines(&mut self, keep: impl Fn(&HostName) -> bool) {
         self.names.retain(|name, key| {
             let kept = keep(name);
@@ -155,7 +157,8 @@
         });
     }
 
-    /// Takes an ask; a decision about it follows. A repeated one is ignored.
+    /// Queues a request or refuses it at once; the decision is returned by
+    /// [`Self::take_decisions`]. Requests that are already queued or running are ignored.
     pub fn enqueue(&mut self, now: Instant, request: PlacementRequest) {
         if self.queue.contains(request.id) || self.placed_streams.contains_key(&request.id) {
             return;
@@ -192,7 +195,7 @@
         });
     }
 
-    /// The place that an ask would get in the queue now.
+    /// Position that a request would get in the queue now.
     fn order_of(&self, request: &PlacementRequest, prefill_ms: f64) -> Order {
         let is_long = !self.is_short(prefill_ms);
         let key = if is_long && self.options.shortest_first {
@@ -205,7 +208,7 @@
         Order::new(is_long, key)
     }
 
-    /// Withdraws an ask or ends its stream.
+    /// Withdraws a request or ends its stream.
     pub fn end(&mut self, now: Instant, id: PlacementId, outcome: &StreamOutcome) {
         self.queue.remove(id);
         match outcome {
@@ -229,7 +232,7 @@
         self.remove_stream(id);
     }
 
-    /// Notes the first event of a stream: all parts of its prompt are read.
+    /// Records the first event of a stream: all parts of its prompt are prefilled.
     pub fn on_first_event(&mut self, now: Instant, id: PlacementId) {
         let Some(stream) = self.placed_streams.get_mut(&id) else {
             return;
@@ -256,7 +259,8 @@
         }
     }
 
-    /// Places all asks that can be placed now, and refuses what can't be served any more.
+    /// Places all requests that can be placed now, and refuses those that can no longer be served
+    /// in time.
     pub fn dispatch(&mut self, now: Instant) {
         if self.queue.is_empty() {
             self.crowd_since = None;
@@ -276,12 +280,12 @@
         self.update_crowd(now);
     }
 
-    /// Decisions since the last call.
+    /// Returns the decisions since the last call.
     pub fn take_decisions(&mut self) -> Vec<(PlacementId, PlacementDecision)> {
         std::mem::take(&mut self.decisions)
     }
 
-    /// When [`Self::dispatch`] has to be called if nothing happens before.
+    /// Latest time for the next call of [`Self::dispatch`]; `None` if no request waits.
     pub fn next_wakeup(&self, now: Instant) -> Option<Instant> {
         if self.queue.is_empty() {
             return None;
@@ -292,7 +296,7 @@
         Some(at.clamp(now + MIN_DISPATCH_INTERVAL, now + MAX_DISPATCH_INTERVAL))
     }
 
-    /// Number of waiting asks.
+    /// Number of waiting requests.
     pub fn waiting(&self) -> usize {
         self.queue.len()
     }
--- a/crates/azuresaddle-sched/src/passes/pool/pace_probes.rs
+++ b/crates/azuresaddle-sched/src/passes/pool/pace_probes.rs
@@ -1,4 +1,4 @@
-//! Search for slow engines.
+//! Detection of slow engines by probes of their pace.
 
 use std::time::Duration;
 
@@ -8,17 +8,17 @@
 use super::PassPool;
 use crate::passes::engine::Engine;
 
-/// Time between two looks at all running streams; an event takes longer.
+/// Time between two checks of all running streams; an event takes longer.
 const OVERDUE_CHECK_INTERVAL: Duration = Duration::from_millis(30);
 
-/// Questions that may follow each other at once: a rack of engines that turn slow together.
+/// Maximum burst of probes: enough for a rack of engines that become slow together.
 const MAX_PROBE_BURST: f64 = 20.0;
 
-/// Questions a second beyond that. Where the owner itself was held up every first event seems overdue,
-/// and asking all 150 engines at once would hold it up again.
+/// Sustained probes per second. If the owner itself was stalled, every first event seems overdue,
+/// and probing all 150 engines at once would stall it again.
 const PROBES_PER_S: f64 = 60.0;
 
-/// How many engines may be asked now: a token bucket.
+/// Token bucket that limits the probes.
 #[derive(Debug)]
 pub(super) struct ProbeBudget {
     left: f64,
@@ -26,7 +26,7 @@
 }
 
 impl ProbeBudget {
-    /// A full budget.
+    /// Creates a full bucket.
     pub(super) fn new(now: Instant) -> Self {
         Self {
             left: MAX_PROBE_BURST,
@@ -40,7 +40,7 @@
         self.left = (self.left + passed * PROBES_PER_S).min(MAX_PROBE_BURST);
     }
 
-    /// Takes one question; false where none is left.
+    /// Takes one token; returns false if none is left.
     fn take(&mut self) -> bool {
         let is_left = self.left >= 1.0;
         if is_left {
@@ -51,7 +51,7 @@
 }
 
 impl PassPool {
-    /// Engines that should be asked for their pace now; see [`Self::on_pace`].
+    /// Returns the engines to probe for their pace now; the results go to [`Self::on_pace`].
     pub fn take_pace_probes(&mut self, now: Instant) -> Vec<HostName> {
         if !self.options.check_pace || now < self.next_overdue_check {
             return Vec::new();
@@ -71,11 +71,11 @@
         self.probes.fill(now);
         let probes = &mut self.probes;
         let engines = self.engines.values_mut();
-        // A question counts against the limit of an engine that names one.
+        // A probe counts against the engine's rate limit.
         let may_ask = |e: &Engine| e.rate.is_none_or(|rate| rate.has_token(now));
         let is_due = |e: &&mut Engine| e.pace.is_probe_due(now) && may_ask(e);
         let mut due: Vec<&mut Engine> = engines.filter(is_due).collect();
-        // Who was asked longest ago comes first, so that none is left out for good.
+        // Engines probed longest ago come first, so that none is left out for good.
         due.sort_by_key(|e| e.pace.last_probe_at());
         let asked = due.into_iter().take_while(|_| probes.take());
         asked
@@ -87,14 +87,15 @@
             .collect()
     }
 
-    /// Takes the time of an engine's work against that of a usual one, by its own word.
+    /// Records the slowdown that an engine reports, relative to a reference engine (1 for full
+    /// speed).
     pub fn on_pace(&mut self, now: Instant, name: &HostName, factor: f64) {
         let Some(engine) = self.names.get(name).and_then(|k| self.engines.get_mut(*k)) else {
             return;
         };
         engine.advance(now, &self.spec);
         engine.pace.on_report(factor);
-        // Streams there whose pauses it breaks are late from now on.
+        // Streams whose pauses this slowdown exceeds are late from now on.
         let pass_ms = engine.decode_ms(&self.spec);
         engine.on_pass_planned(pass_ms);
     }
--- a/crates/azuresaddle-sched/src/passes/pool/placement.rs
+++ b/crates/azuresaddle-sched/src/passes/pool/placement.rs
@@ -1,4 +1,4 @@
-//! Placement of waiting asks.
+//! Placement of waiting requests.
 
 use std::time::Duration;
 
@@ -14,20 +14,23 @@
 use crate::passes::request::{PlacementDecision, PlacementGrant, PlacementId, PlacementRequest};
 use crate::passes::short_plan::{ShortCandidates, ShortPlan, ShortRequirement};
 
-/// Most long prompts that are tried in one round; the ones behind them wait for these.
+/// Maximum number of long prompts that are tried in one dispatch; those behind them wait.
 const MAX_TRIED: usize = 16;
 
-/// Most long prompts that are looked at in one round, so that its cost does not grow with the queue.
+/// Maximum number of long prompts that are examined in one dispatch, so that its cost does not grow
+/// with the queue.
 const MAX_EXAMINED: usize = 128;
 
-/// Part of the time left that a long prompt has waited before others may be made late for it.
+/// Fraction of its remaining time that a long prompt must have waited before other streams may be
+/// made late for it.
 const DELAY_OTHERS_AFTER: f64 = 0.15;
 
-/// Most prompt tokens of streams made late, as a part of the long prompt's own tokens: the worth of
-/// an answer is not stated, so the work that its caller asks for stands for it.
+/// Maximum number of prompt tokens of streams made late, as a fraction of the long prompt's own
+/// tokens. Requests do not state the value of an answer, so the requested amount of work stands in
+/// for it.
 const DELAYED_TOKENS_SHARE: f64 = 0.2;
 
-/// Time before its caller gives up from which a late short prompt takes any engine.
+/// Time before its caller gives up, from which a late short prompt takes any engine.
 const SHORT_GIVE_UP_MARGIN: Duration = Duration::from_millis(600);
 
 impl PassPool {
@@ -41,8 +44,9 @@
         }
     }
 
-    /// Whether another copy of the same suspect runs: how that one ends is known before the next is sent to an
-    /// engine. Copies that come within half a second would end as many engines.
+    /// Whether another copy of the same suspect runs. The outcome of that copy must be known before
+    /// the next is placed; copies that arrive within half a second would otherwise crash as many
+    /// engines.
     fn must_wait_for_copy(&self, request: &PlacementRequest) -> bool {
         let Some(suspect) = request.suspect.filter(|_| self.options.suspects_in_turn) else {
             return false;
@@ -62,7 +66,8 @@
 
     /// Places short prompts: those that can still be on time, or the late ones.
     ///
-    /// A late one waits for a place where it makes no other late, until its caller is about to give up.
+    /// A late prompt waits for a place where it makes no other stream late, until its caller is
+    /// about to give up.
     pub(super) fn place_short(&mut self, now: Instant, on_time: bool) {
         let due: Vec<PlacementId> = self
             .queue
@@ -77,7 +82,7 @@
         }
         let mut candidates = ShortCandidates::new(&self.view(now));
         for id in due {
-            // One that was placed in this round may be the same request.
+            // A request placed in this dispatch may be a copy of this one.
             if self
                 .queue
                 .get(id)
@@ -122,7 +127,7 @@
         )
     }
 
-    /// Places long prompts; first those that can still be on time, then the others.
+    /// Places long prompts: those that can still be on time, or the late ones.
     pub(super) fn place_long(&mut self, now: Instant, on_time: bool) {
         if !self.queue.has_long() {
             return;
@@ -152,7 +157,7 @@
         }
     }
 
-    /// A plan for a long prompt that is worth to begin now.
+    /// Returns a plan for a long prompt if it should start now.
     pub(super) fn plan_for(
         &self,
         view: &PoolView<'_>,
--- a/crates/azuresaddle-sched/src/passes/pool/rate_limits.rs
+++ b/crates/azuresaddle-sched/src/passes/pool/rate_limits.rs
@@ -1,8 +1,9 @@
-//! Engines that limit their rate.
+//! Rate limits of engines.
 //!
-//! The limit holds for all nodes together, and every stream is placed here: one bucket an engine counts them, with the
-//! parts of long prompts that an engine reads for others. A node that places alone beside the one that places for all
-//! leaves these engines to that one.
+//! A limit applies to all nodes together, and the pool's owner places every stream. So one token
+//! bucket per engine counts the streams, and the parts of long prompts that the engine prefills for
+//! others. A node that places on its own while another one is the owner leaves these engines to the
+//! owner.
 
 use std::time::Duration;
 
@@ -14,7 +15,8 @@
 use crate::rate_bucket::RateBucket;
 
 impl PassPool {
-    /// Takes the rate limits of engines by name; the others have none.
+    /// Sets the rate limits of the engines by name; engines for which `limit_of` returns `None`
+    /// have none.
     pub fn set_rate_limits<'a>(
         &mut self,
         now: Instant,
@@ -33,7 +35,7 @@
         }
     }
 
-    /// Notes whether this node places for all.
+    /// Sets whether this node owns the pool; only the owner uses engines with a rate limit.
     pub fn set_owner(&mut self, now: Instant, is_owner: bool) {
         self.is_owner = is_owner;
         for rate in self.engines.values_mut().filter_map(|e| e.rate.as_mut()) {
@@ -45,8 +47,8 @@
         }
     }
 
-    /// Expected time until an ask behind `before` others gets its turn at engines that limit their rate; `None` where
-    /// no such engine takes work.
+    /// Expected time until a request behind `before` others gets a token of a rate-limited engine;
+    /// `None` if no such engine accepts work.
     pub(super) fn rate_limited_wait(&self, now: Instant, before: usize) -> Option<Duration> {
         if !self.is_owner {
             return None;
--- a/crates/azuresaddle-sched/src/passes/pool/refusals.rs
+++ b/crates/azuresaddle-sched/src/passes/pool/refusals.rs
@@ -1,4 +1,4 @@
-//! Refusal of what can't be served in its time.
+//! Refusal of requests that cannot be served in time.
 
 use std::time::Duration;
 
@@ -9,47 +9,49 @@
 use crate::passes::queue::{Order, Waiting};
 use crate::passes::request::{PlacementDecision, PlacementRequest};
 
-/// Time between two looks at all waiting asks; a tenth of the time that a short one can wait.
+/// Time between two checks of all waiting requests; a tenth of the time that a short one can wait.
 const REFUSAL_INTERVAL: Duration = Duration::from_millis(30);
 
-/// Shortest time to come back that is told.
+/// Minimum retry delay that is reported.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(200);
 
-/// Longest time to come back that is told.
+/// Maximum retry delay that is reported.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(5);
 
-/// Part of the pool's slots that may wait besides for one client account, so that a flood leaves the others their
-/// places.
+/// Number of requests that one client account may have waiting, as a fraction of the pool's slots;
+/// keeps room for the other accounts during a flood.
 const ACCOUNT_WAITING_SHARE: f64 = 0.06;
 
-/// Fewest asks that an account may have waiting.
+/// Number of requests that an account may always have waiting.
 const MIN_ACCOUNT_WAITING: usize = 8;
 
-/// Time for which an account, or a crowd, must have had asks waiting: callers that return together after an outage
-/// are no flood, and in a tenth of the time most of them find room.
+/// Time for which an account, or the short prompts together, must have had requests waiting to
+/// count as a flood or a crowd. Callers that return together after an outage are no flood; most of
+/// them are placed within a tenth of that time.
 const FLOOD_AGE: Duration = Duration::from_millis(500);
 
-/// Time to come back for an account that floods: its asks that wait are decided by then.
+/// Retry delay for an account that floods the queue; its waiting requests are decided by then.
 const FLOOD_RETRY_AFTER: Duration = Duration::from_millis(1000);
 
-/// Short prompts that may wait whatever the expectation: it is worth little for a few.
+/// Number of short prompts that may always wait; the estimated wait is unreliable for fewer.
 const MIN_CROWD: usize = 6;
 
-/// Part of the time to the first event that a short prompt may be expected to wait.
+/// Fraction of the time to the first event that a short prompt may be expected to wait.
 const CROWD_WAIT_SHARE: f64 = 0.7;
 
-/// Expected wait up to which a short prompt that is late already may still wait.
+/// Expected wait up to which a short prompt that is late already is still queued.
 const MIN_CROWD_WAIT: Duration = Duration::from_millis(200);
 
-/// Time to come back after that: streams of two to three seconds have ended by then.
+/// Retry delay for short prompts that a crowd keeps out; streams of two to three seconds have ended
+/// by then.
 const CROWD_RETRY_AFTER: Duration = Duration::from_millis(2000);
 
 impl PassPool {
-    /// When to come back, where one client account has most of the queue and enough of the pool
-    /// waiting.
+    /// Returns the retry delay if one client account has more than half of the queue,
+    /// has reached its limit, and has had requests waiting for `FLOOD_AGE`.
     ///
-    /// Answers the pattern of an account that asks several times what the engines can do: its turn
-    /// comes last, but its late asks would still fill every engine.
+    /// When an account sends several times what the engines can handle, its requests come last in
+    /// the queue, but its late requests would still fill every engine.
     pub(super) fn flood_retry_after(
         &self,
         now: Instant,
@@ -67,9 +69,10 @@
         floods.then_some(FLOOD_RETRY_AFTER)
     }
 
-    /// When to come back, where so many short prompts wait that a new one would be late.
+    /// Returns the retry delay if so many short prompts wait that a new one would be late.
     ///
-    /// Only those whose turn comes before its own count, so an account that floods crowds out nobody else.
+    /// Only those ahead in the queue count, so an account that floods the queue crowds out nobody
+    /// else.
     pub(super) fn crowd_retry_after(
         &self,
         now: Instant,
@@ -89,20 +92,20 @@
         (wait > left.mul_f64(CROWD_WAIT_SHARE).max(MIN_CROWD_WAIT)).then_some(CROWD_RETRY_AFTER)
     }
 
-    /// Notes whether a crowd waits now.
+    /// Updates since when a crowd of short prompts waits.
     pub(super) fn update_crowd(&mut self, now: Instant) {
         let is_crowd = self.queue.count_before(Order::new(true, 0.0)) >= MIN_CROWD;
         self.crowd_since = is_crowd.then(|| self.crowd_since.unwrap_or(now));
     }
 
-    /// Whether a crowd has waited long enough to be more than callers that return together.
+    /// Whether a crowd has waited too long to be callers that return together.
     fn crowd_persists(&self, now: Instant) -> bool {
         let since = self.crowd_since;
         since.is_some_and(|since| now.saturating_duration_since(since) >= FLOOD_AGE)
     }
 
-    /// When to come back, where a short prompt has become late while enough others can still be on
-    /// time.
+    /// Returns the retry delay if a short prompt has become late while enough others can still be
+    /// on time.
     fn late_in_crowd_retry_after(&self, now: Instant, waiting: &Waiting) -> Option<Duration> {
         let is_late = waiting.request.first_event_by <= now;
         let is_crowd =
@@ -111,7 +114,8 @@
         (applies && is_late && is_crowd).then_some(CROWD_RETRY_AFTER)
     }
 
-    /// When to come back, where the request can't be served in its time; `before` asks get their turn first.
+    /// Returns the retry delay if the request cannot be served in time; `before` requests are ahead
+    /// of it.
     pub(super) fn unservable_retry_after(
         &self,
         now: Instant,
@@ -124,7 +128,7 @@
         if open == 0 {
             return self.no_engine_retry_after(now, request, before);
         }
-        // The engines' interface lets a prompt lie on so many engines at most.
+        // The engines' interface limits how many engines hold one prompt.
         let most_engines = self.engines.len().min(MAX_ENGINES_PER_PROMPT) as u64;
         let memory = request.prompt_tokens + request.answer_tokens;
         if memory > most_engines * self.spec.memory_tokens {
@@ -139,8 +143,8 @@
         Some(wait.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER))
     }
 
-    /// When to come back, where no engine takes anything now; `None` where the ask gets its turn in time at engines
-    /// that limit their rate.
+    /// Returns the retry delay if no engine accepts work now; `None` if a rate-limited engine will
+    /// have a token for the request in time.
     fn no_engine_retry_after(
         &self,
         now: Instant,
@@ -166,7 +170,7 @@
             .count()
     }
 
-    /// Time to read a prompt with all engines that may take part.
+    /// Time to prefill a prompt with all engines that may take part.
     pub(super) fn min_prefill_time(&self, prefill_ms: f64, open: usize) -> Duration {
         let split = if self.is_short(prefill_ms) {
             1
@@ -176,8 +180,8 @@
         Duration::from_secs_f64(prefill_ms / split as f64 / 1000.0)
     }
 
-    /// Expected time until a long prompt begins, from the reading that waits and finds room sooner
-    /// and from the load of late; short ones are not expected to wait.
+    /// Expected time until a long prompt starts, from the waiting prompts that will start sooner
+    /// and the recent load. Short prompts are not expected to wait.
     fn expected_wait(
         &self,
         now: Instant,
@@ -194,8 +198,8 @@
         Duration::from_secs_f64(wait_ms.max(0.0) / 1000.0)
     }
 
-    /// Reading that waits and finds room sooner than a long prompt, in milliseconds; short ones are
-    /// not expected to wait.
+    /// Total prefill of the waiting prompts that will start sooner than a long prompt, in
+    /// milliseconds. Short prompts are not expected to wait.
     pub(super) fn prefill_ahead_ms(&self, prefill_ms: f64) -> f64 {
         if self.is_short(prefill_ms) {
             return 0.0;
@@ -206,8 +210,8 @@
             .sum()
     }
 
-    /// Refuses every ask that can't be answered in its time any more; looks at all of them, so not
-    /// in every round.
+    /// Refuses every waiting request that can no longer be answered in time. It examines the whole
+    /// queue, so it does not run in every dispatch.
     pub(super) fn refuse_unservable(&mut self, now: Instant) {
         if now < self.next_refusal_check {
             return;
--- a/crates/azuresaddle-sched/src/passes/pool/streams.rs
+++ b/crates/azuresaddle-sched/src/passes/pool/streams.rs
@@ -1,4 +1,4 @@
-//! The ledger: which streams run where.
+//! Tracking of the streams that run on the pool's engines.
 
 use std::collections::HashSet;
 
@@ -10,14 +10,14 @@
 use crate::passes::pace::overdue_at;
 use crate::passes::request::{PlacementId, RunningStream, Suspect};
 
-/// What the ledger needs to know of a stream.
+/// Description of a stream to be tracked.
 pub(super) struct StreamRecord {
     pub(super) id: PlacementId,
     pub(super) prompt_tokens: u64,
     pub(super) answer_tokens: u64,
     pub(super) pause: std::time::Duration,
     pub(super) helper_memory_tokens: u64,
-    /// When the first event counts as overdue.
+    /// Time at which the first event counts as overdue.
     pub(super) overdue_at: Option<Instant>,
     pub(super) suspect: Option<Suspect>,
 }
@@ -41,8 +41,9 @@
         }
     }
 
-    /// Replaces what is known of one node's streams by what it says itself; a stream that it does
-    /// not name is given up unless `may_still_run` says that the node can't have known of it.
+    /// Replaces the tracked streams of one node by those it reports. Streams that it does not
+    /// report are released, unless `may_still_run` returns true because the node could not know of
+    /// them yet.
     pub fn sync_node(
         &mut self,
         now: Instant,
@@ -98,7 +99,7 @@
         self.add_stream(&record, lead, helpers);
     }
 
-    /// Forgets everything of nodes that `keep` does not name.
+    /// Drops all requests and streams of nodes for which `keep` returns false.
     pub fn retain_nodes(&mut self, keep: impl Fn(u64) -> bool) {
         self.queue.retain_nodes(&keep);
         let gone: Vec<PlacementId> = self
@@ -112,7 +113,7 @@
         }
     }
 
-    /// Notes a stream in the ledger.
+    /// Tracks a stream on its engines.
     pub(super) fn add_stream(
         &mut self,
         record: &StreamRecord,
--- a/crates/azuresaddle-sched/src/passes/pool_view.rs
+++ b/crates/azuresaddle-sched/src/passes/pool_view.rs
@@ -1,4 +1,4 @@
-//! What a decision looks at.
+//! Read-only state of a pool for placement decisions.
 
 use azuresaddle_core::deployment::EngineSpec;
 use slotmap::SlotMap;
--- a/crates/azuresaddle-sched/src/passes/queue.rs
+++ b/crates/azuresaddle-sched/src/passes/queue.rs
@@ -1,4 +1,4 @@
-//! Asks that wait for engines.
+//! Queue of requests that wait for engines.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -8,10 +8,10 @@
 use super::request::{PlacementId, PlacementRequest};
 use crate::fair_clock::FairTag;
 
-/// Order of waiting asks: their own order, then arrival.
+/// Sort key of a waiting request: its position, then its arrival number.
 type Rank = (Order, u64);
 
-/// Place of an ask in the queue; short ones come before all long ones.
+/// Position of a request in the queue; all short prompts come before all long ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Order {
     is_long: bool,
@@ -19,38 +19,39 @@
 }
 
 impl Order {
-    /// A place among the short or the long ones, lowest first.
+    /// Creates a position among the short or the long prompts; the lowest `key` comes first.
     pub(super) fn new(is_long: bool, key: f64) -> Self {
-        // Millionths keep the order of what differs by a few tokens.
+        // Millionths preserve the order of requests that differ by a few tokens.
         let micros = (key * 1e6) as u64;
         Self { is_long, micros }
     }
 }
 
-/// A waiting ask.
+/// A waiting request.
 #[derive(Debug)]
 pub(super) struct Waiting {
     pub(super) request: PlacementRequest,
-    /// Time to read the prompt on one engine, in milliseconds.
+    /// Time to prefill the prompt on one engine, in milliseconds.
     pub(super) prefill_ms: f64,
     pub(super) order: Order,
-    /// Its turn among the client accounts.
+    /// Its position in the fair queueing among client accounts.
     pub(super) turn: FairTag,
     pub(super) asked_at: Instant,
 }
 
-/// Waiting asks of one client account.
+/// Waiting requests of one client account.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AccountQueue {
     pub(super) count: usize,
-    /// Since when there has always been one.
+    /// Start of the current period with at least one waiting request.
     pub(super) since: Instant,
 }
 
-/// Most asks that are counted before another; a crowd is far smaller, and a count must stay cheap.
+/// Upper bound for [`Queue::count_before`]. The limits compared with the count are far lower, and
+/// counting must stay cheap.
 const MAX_COUNTED: usize = 256;
 
-/// Waiting asks in their order.
+/// Waiting requests in queue order.
 #[derive(Debug, Default)]
 pub(super) struct Queue {
     by_rank: BTreeMap<Rank, Waiting>,
@@ -90,25 +91,25 @@
         self.by_rank.get(self.ranks.get(&id)?)
     }
 
-    /// Waiting long prompts.
+    /// Waiting long prompts in queue order.
     pub(super) fn iter_long(&self) -> impl Iterator<Item = &Waiting> {
         let first = Order::new(true, 0.0);
         self.by_rank.range((first, 0)..).map(|(_, w)| w)
     }
 
-    /// Number of waiting asks whose turn comes before a place in the queue, counted up to a bound.
+    /// Number of waiting requests before a position in the queue, counted up to a bound.
     pub(super) fn count_before(&self, order: Order) -> usize {
         let before = self.by_rank.range(..(order, 0));
         before.take(MAX_COUNTED).count()
     }
 
-    /// Whether a long prompt waits; they are the last ones.
+    /// Whether a long prompt waits; long prompts are at the end of the queue.
     pub(super) fn has_long(&self) -> bool {
         let last = self.by_rank.last_key_value();
         last.is_some_and(|((order, _), _)| order.is_long)
     }
 
-    /// Waiting asks of a client account.
+    /// Returns the waiting requests of a client account.
     pub(super) fn account_queue(&self, account: &ClientAccount) -> Option<AccountQueue> {
         self.by_account.get(account).copied()
     }
--- a/crates/azuresaddle-sched/src/passes/request.rs
+++ b/crates/azuresaddle-sched/src/passes/request.rs
@@ -1,4 +1,4 @@
-//! What a pool of engines is asked and answers.
+//! Placement requests and the pool's decisions about them.
 
 use std::time::Duration;
 
@@ -8,30 +8,32 @@
 
 use super::engine::Engine;
 
-/// Identifies an ask over all nodes.
+/// Identifies a placement request across all nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct PlacementId {
-    /// Incarnation of the node that asks.
+    /// Incarnation of the requesting node.
     pub node: u64,
-    /// Number of the ask at that node.
+    /// Sequence number at that node.
     pub number: u64,
 }
 
-/// A request that a target has ended under; it may be the cause, or only have been there.
+/// A request that was running on a target when that target crashed. It may be the cause, or a
+/// bystander.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Suspect {
-    /// The request.
+    /// Fingerprint of the request.
     pub fingerprint: Fingerprint,
-    /// Whether it shares no engine with another such, since the next crash may be its last.
+    /// Whether it must not share an engine with another such suspect, because one more crash may
+    /// quarantine it.
     pub needs_isolation: bool,
 }
 
-/// Asks for engines to run a stream on.
+/// Request to place a stream on engines.
 #[derive(Clone, Debug)]
 pub struct PlacementRequest {
-    /// The ask.
+    /// Identifier of the placement request.
     pub id: PlacementId,
-    /// Who asks.
+    /// Client account that sent the request.
     pub account: ClientAccount,
     /// Failure domain of the node that will relay the answer.
     pub domain: FailureDomain,
@@ -39,37 +41,38 @@
     pub prompt_tokens: u64,
     /// Expected length of the answer, in tokens.
     pub answer_tokens: u64,
-    /// When the first event is late.
+    /// Time from which the first event counts as late.
     pub first_event_by: Instant,
-    /// Longest pause between events.
+    /// Longest acceptable pause between events.
     pub pause: Duration,
-    /// When the caller gives up if no event has come.
+    /// Time at which the caller gives up if it has received no event.
     pub give_up_at: Instant,
-    /// When the request must have ended.
+    /// Time by which the answer must be complete.
     pub deadline: Instant,
-    /// Targets that must not be used, since an earlier attempt failed there.
+    /// Targets on which an earlier attempt failed; they are not used again.
     pub exclude: Vec<HostName>,
-    /// The request, where a target has ended while it had it.
+    /// Set if a target has crashed while it ran this request.
     pub suspect: Option<Suspect>,
 }
 
-/// Time to write one token of an answer, in milliseconds: a step of an engine with a full batch.
+/// Time to decode one token, in milliseconds: one step of an engine with a full batch.
 const DECODE_MS_PER_TOKEN: f64 = 1.3;
 
-/// Longest time that an answer is expected to take: callers' estimates of its length are often far
-/// too high, and nothing is refused for that.
+/// Upper bound for the expected decode time. Callers often overestimate the length of the answer by
+/// far, and no request is refused for that.
 const MAX_DECODE_TIME: Duration = Duration::from_millis(2500);
 
 impl PlacementRequest {
-    /// Whether an engine is not to be used since another suspect runs there.
+    /// Returns whether the engine must not be used because another suspect runs there.
     ///
-    /// Streams of an engine that ends go on together, packed as before, and their callers come back together: twelve
-    /// sound requests were beside the one that ended three engines on each of these, and were taken for the cause.
+    /// After a crash the streams of an engine move to another engine together, and their callers
+    /// retry together. Without this rule, twelve harmless requests shared an engine with the
+    /// crashing one three times in a row and were taken for the cause.
     pub(super) fn must_avoid(&self, now: Instant, engine: &Engine) -> bool {
         self.suspect.is_some_and(|s| s.needs_isolation) && engine.is_isolated(now)
     }
 
-    /// Expected time from the first event to the end.
+    /// Expected time from the first event to the end of the answer.
     pub(super) fn decode_time(&self) -> Duration {
         let expected =
             Duration::from_secs_f64(self.answer_tokens as f64 * DECODE_MS_PER_TOKEN / 1000.0);
@@ -77,24 +80,24 @@
     }
 }
 
-/// Decision about an ask.
+/// Decision about a placement request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PlacementDecision {
-    /// Send it now.
+    /// The stream has been placed and can be sent now.
     Granted(PlacementGrant),
-    /// It has its final answer; it did not run.
+    /// The request was refused and did not run.
     Refused {
-        /// When to come back.
+        /// Time after which the caller may retry.
         retry_after: Duration,
     },
 }
 
-/// Engines for a stream.
+/// The engines on which a stream was placed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlacementGrant {
-    /// The engine that receives the request and writes the answer.
+    /// Engine that receives the request and decodes the answer.
     pub lead: HostName,
-    /// Engines that read a part of the prompt besides.
+    /// Engines that each prefill a part of the prompt.
     pub helpers: Vec<HostName>,
     /// Memory to reserve on each helper before the request is sent, in tokens; 0 for none.
     pub helper_memory_tokens: u64,
@@ -102,47 +105,47 @@
     pub first_event_in: Duration,
 }
 
-/// How a stream ended.
+/// How a stream or a placement request ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StreamOutcome {
-    /// The answer is whole.
+    /// The answer is complete.
     Done,
-    /// The caller left, or the ask was withdrawn.
+    /// The caller disconnected, or the placement request was withdrawn.
     Cancelled,
-    /// A target said that it does not run the stream.
+    /// A target declined the stream.
     TargetRefused(HostName),
     /// A target rejected the stream and asked the node to back off.
     TargetBacksOff {
         /// The target.
         target: HostName,
-        /// Time of the back-off.
+        /// Duration of the back-off.
         time: Duration,
     },
-    /// A target broke off or fell silent.
+    /// A target broke the connection or stopped responding.
     TargetFailed(HostName),
 }
 
-/// A stream that a node relays, as a new owner of the pool is told.
+/// A stream that a node relays, as reported to a new owner of the pool.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunningStream {
-    /// The ask.
+    /// Identifier of the placement request.
     pub id: PlacementId,
-    /// The engine that writes.
+    /// Engine that decodes the answer.
     pub lead: HostName,
-    /// Engines that read parts of the prompt.
+    /// Engines that each prefill a part of the prompt.
     pub helpers: Vec<HostName>,
-    /// Memory on each helper, in tokens.
+    /// Memory held on each helper, in tokens.
     pub helper_memory_tokens: u64,
     /// Length of the prompt, in tokens.
     pub prompt_tokens: u64,
     /// Expected length of the answer, in tokens.
     pub answer_tokens: u64,
-    /// Longest pause between events.
+    /// Longest acceptable pause between events.
     pub pause: Duration,
     /// Whether the first event has come.
     pub is_decoding: bool,
-    /// Expected time until the first event; zero where it has come or is overdue.
+    /// Expected time until the first event; zero if it has arrived or is overdue.
     pub first_event_in: Duration,
-    /// The request, where a target had ended while it had it.
+    /// Set if a target has crashed while it ran this request.
     pub suspect: Option<Suspect>,
 }
--- a/crates/azuresaddle-sched/src/passes/short_plan.rs
+++ b/crates/azuresaddle-sched/src/passes/short_plan.rs
@@ -1,8 +1,8 @@
-//! Placement of prompts that are read in a fraction of a pass.
+//! Placement of prompts that need only a fraction of a pass.
 //!
-//! Answers the pattern of many short prompts beside few long ones: short streams are packed on as
-//! few engines as keep their pauses, so that the others stay free to read long prompts without a
-//! pass that somebody waits for.
+//! Many short prompts usually arrive beside few long ones. Short streams are packed on as few
+//! engines as keep their pauses, so that the other engines can prefill long prompts without
+//! delaying any stream.
 
 use azuresaddle_core::deployment::EngineSpec;
 use tokio::time::Instant;
@@ -11,46 +11,46 @@
 use super::pool_view::PoolView;
 use super::request::PlacementRequest;
 
-/// Part of the time to the first event that the wait for a pass and the read may take; the rest
-/// covers the node, the network and the error of the estimate.
+/// Fraction of the time to the first event that the wait for a pass and the prefill may take. The
+/// rest covers the node, the network and errors of the estimate.
 const FIRST_EVENT_SHARE: f64 = 0.62;
 
 /// An engine for a short prompt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct ShortPlan {
     pub(super) engine: EngineKey,
-    /// Milliseconds to the first event.
+    /// Time to the first event, in milliseconds.
     pub(super) first_event_ms: f64,
 }
 
-/// What an engine for a short prompt must keep.
+/// What must hold for an engine to take a short prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ShortRequirement {
-    /// Every pause, and the prompt's own first event on time.
+    /// All pauses are kept and the prompt's first event is on time.
     OnTime,
-    /// Every pause; the prompt is late already.
+    /// All pauses are kept; the prompt is late already.
     KeepPauses,
-    /// Nothing: the prompt's caller is about to give up.
+    /// No condition: the prompt's caller is about to give up.
     Nothing,
 }
 
-/// An engine with a free slot, as short prompts see it.
+/// An engine with a free slot.
 #[derive(Clone, Copy, Debug)]
 struct ShortCandidate {
     key: EngineKey,
-    /// Milliseconds until its next pass.
+    /// Time until its next pass, in milliseconds.
     wait_ms: f64,
-    /// Time of that pass without another prompt, in milliseconds.
+    /// Duration of that pass without another prompt, in milliseconds.
     base_ms: f64,
-    /// Longest read that makes no stream late, in milliseconds.
+    /// Longest prefill that makes no stream late, in milliseconds.
     headroom_ms: f64,
     free_tokens: u64,
-    /// Time of its work against that of a usual engine.
+    /// Slowdown relative to a reference engine; 1 for full speed.
     pace_factor: f64,
 }
 
 impl ShortCandidate {
-    /// An engine as it is now; `None` where nothing may start there.
+    /// Captures the current state of an engine; `None` if nothing may start there.
     fn new(now: Instant, spec: &EngineSpec, key: EngineKey, engine: &Engine) -> Option<Self> {
         (engine.accepts_work(now) && engine.has_slot(spec)).then(|| Self {
             key,
@@ -63,22 +63,22 @@
     }
 }
 
-/// The engines that could take short prompts, at one moment.
+/// Snapshot of the engines that could take short prompts.
 ///
-/// Built once for all prompts that are tried in a round, so that the streams of an engine are not summed up again for
-/// every prompt that finds no room.
+/// Built once for all prompts that are tried in a dispatch, so that the streams of an engine are
+/// not summed up again for every prompt that finds no capacity.
 #[derive(Debug)]
 pub(super) struct ShortCandidates(Vec<ShortCandidate>);
 
 impl ShortCandidates {
-    /// All engines with a free slot.
+    /// Collects all engines with a free slot.
     pub(super) fn new(view: &PoolView<'_>) -> Self {
         let all = view.engines.iter();
         let available = all.filter_map(|(key, e)| ShortCandidate::new(view.now, view.spec, key, e));
         Self(available.collect())
     }
 
-    /// Brings one engine up to what was placed there.
+    /// Updates one engine after a placement.
     pub(super) fn refresh(&mut self, view: &PoolView<'_>, key: EngineKey) {
         let Some(at) = self.0.iter().position(|c| c.key == key) else {
             return;
@@ -91,7 +91,7 @@
         }
     }
 
-    /// The engine for a short prompt: the fullest one that keeps what is needed.
+    /// Chooses the fullest engine that meets the requirement.
     pub(super) fn plan(
         &self,
         view: &PoolView<'_>,
@@ -145,11 +145,11 @@
     }
 }
 
-/// Order of engines for a short prompt.
+/// Ranks engines for a short prompt.
 #[derive(Clone, Copy, Debug)]
 struct Rank {
     is_good: bool,
-    /// Streams of the same kind that write there.
+    /// Number of streams there whose longest pause is no longer than that of the prompt.
     packed: usize,
     same_domain: bool,
     soon: f64,
--- a/crates/azuresaddle-sched/tests/suite/passes/account_shares.rs
+++ b/crates/azuresaddle-sched/tests/suite/passes/account_shares.rs
@@ -1,4 +1,4 @@
-//! Shares of client accounts.
+//! Fair shares of client accounts.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
     }
 }
 
-/// Fills the only engine with streams that write, and returns the number of the next ask.
+/// Fills the only engine with decoding streams, and returns the number of the next request.
 fn fill(pool: &mut PassPool, now: Instant) -> u64 {
     let mut number = 1;
     while start(pool, now, number, 2000).is_some() {
@@ -35,7 +35,7 @@
     let other = first + 6;
     pool.enqueue(now, request_of("other", now, other, 2000));
     assert!(dispatch(&mut pool, now).is_empty());
-    // Two places become free.
+    // Two slots become free.
     pool.end(now, id(1), &StreamOutcome::Done);
     pool.end(now, id(2), &StreamOutcome::Done);
     let later = now + Duration::from_millis(60);
@@ -54,7 +54,7 @@
         }
         pool.take_decisions().len()
     };
-    // Many at once, as after an outage, are no flood.
+    // A burst, as after an outage, is no flood.
     assert_eq!(flood(&mut pool, now, first..first + 20), 0);
     let now = now + Duration::from_millis(600);
     assert_eq!(flood(&mut pool, now, first + 20..first + 30), 10);
--- a/crates/azuresaddle-sched/tests/suite/passes/crowd.rs
+++ b/crates/azuresaddle-sched/tests/suite/passes/crowd.rs
@@ -1,4 +1,4 @@
-//! More short prompts than the engines can begin in time.
+//! More short prompts than the engines can start in time.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
     }
 }
 
-/// Numbers of the asks that are refused now.
+/// Dispatches and returns the numbers of the refused requests.
 fn refused(pool: &mut PassPool, now: Instant) -> Vec<u64> {
     pool.dispatch(now);
     let decisions = pool.take_decisions().into_iter();
@@ -22,7 +22,7 @@
     refused.map(|(id, _)| id.number).collect()
 }
 
-/// Fills the engine and lets a crowd wait from now until a moment later.
+/// Fills the engine and lets further short prompts queue up; returns a moment after that.
 fn queue_up(pool: &mut PassPool, now: Instant, account: impl Fn(u64) -> String) -> Instant {
     let later = now + Duration::from_millis(1200);
     for step in 0..120 {
@@ -76,7 +76,7 @@
     let grant = start(&mut pool, now, 1, 3_000).unwrap();
     let now = now + grant.first_event_in;
     pool.on_first_event(now, id(1));
-    // The next pass is full: its streams have short pauses.
+    // The next pass has no headroom left: its streams have short pauses.
     let full: Vec<Option<PlacementGrant>> =
         (2..6).map(|n| start(&mut pool, now, n, 10_000)).collect();
     assert!(full.iter().any(Option::is_none), "{full:?}");
@@ -86,7 +86,7 @@
     };
     pool.enqueue(now, late.clone());
     assert!(dispatch(&mut pool, now).iter().all(|(n, _)| *n != 9));
-    // One whose caller is about to give up takes any engine.
+    // A late request is placed on any engine once its caller is about to give up.
     pool.end(now, id(9), &StreamOutcome::Cancelled);
     let about_to_give_up = PlacementRequest {
         give_up_at: now + Duration::from_millis(500),
--- a/crates/azuresaddle-sched/tests/suite/passes/engine_restart.rs
+++ b/crates/azuresaddle-sched/tests/suite/passes/engine_restart.rs
@@ -1,4 +1,4 @@
-//! Engines that start again under their name.
+//! Engines that restart under the same name.
 
 use std::time::Duration;
 
@@ -24,7 +24,7 @@
     assert!(pool.note_start(now, &name(0), SECOND));
     let granted = dispatch(&mut pool, now);
     assert_eq!(granted[0].0, 3, "the engine is empty again");
-    // The end of a stream of the earlier start takes nothing from the later one.
+    // The end of a stream of the earlier start does not affect the later one.
     pool.end(now, id(2), &StreamOutcome::TargetFailed(name(0)));
     assert_eq!(pool.running(), 1);
     assert!(start(&mut pool, now, 4, 300_000).is_none());
@@ -60,7 +60,7 @@
     assert!(pool.note_start(now, &name(0), SECOND));
     let grant = start(&mut pool, now, 1, 2_000).unwrap();
     assert!(!pool.note_start(now, &name(0), FIRST));
-    // A start that is not told, or the same one, changes nothing.
+    // An unknown start, or the same one, changes nothing.
     assert!(pool.note_start(now, &name(0), TargetStart::default()));
     assert!(pool.note_start(now, &name(0), SECOND));
     assert_eq!(grant.lead, name(0));
--- a/crates/azuresaddle-sched/tests/suite/passes/long.rs
+++ b/crates/azuresaddle-sched/tests/suite/passes/long.rs
@@ -30,7 +30,7 @@
 async fn a_long_prompt_waits_for_more_engines_while_that_keeps_it_on_time() {
     let now = Instant::now();
     let mut pool = pool(now, 8);
-    // Seven engines read for 400 ms.
+    // Seven engines prefill for 400 ms.
     for n in 0..7 {
         let busy = start(&mut pool, now, n, 110_000);
         assert!(busy.is_some() || n > 0);
@@ -46,7 +46,7 @@
     let now = Instant::now();
     let mut pool = pool(now, 1);
     let mut late = request(now, 1, 300_000);
-    // 5,300 ms to read on the only engine.
+    // The prefill takes 5,300 ms on the only engine.
     late.deadline = now + Duration::from_millis(4000);
     assert_refused(&mut pool, now, late);
 }
@@ -79,9 +79,9 @@
             break_pauses,
             ..PassOptions::default()
         };
-        // So many engines that no part is long enough to silence a stream.
+        // Enough engines that no part is long enough to stall a stream.
         let mut pool = pool_with(now, 6, options);
-        // One leftover short stream on each engine.
+        // One short stream remains on each engine.
         for n in 0..6 {
             pool.sync_node(now, 10 + n, &[running_stream(10 + n, n as usize)], |_| {
                 false
@@ -99,7 +99,7 @@
     assert_eq!(both, [true, false]);
 }
 
-/// Parts that meet on an engine are read in one pass, and none is done before its end.
+/// Parts that share a pass are prefilled together, and none completes before its end.
 #[tokio::test(start_paused = true)]
 async fn no_part_is_placed_on_an_engine_that_is_prefilling() {
     let now = Instant::now();
@@ -114,7 +114,8 @@
     }
 }
 
-/// A review that is written alone takes four times the engine's time that its prompt takes to read.
+/// Decoding the answer to a medium-length prompt alone takes four times the engine time that its
+/// prefill takes.
 #[tokio::test(start_paused = true)]
 async fn long_prompts_are_decoded_beside_short_streams() {
     let now = Instant::now();
@@ -129,7 +130,7 @@
     }
 }
 
-/// Under a load of quicker prompts that takes all engines, a very long one is told at once.
+/// When prompts with a shorter prefill need all engines, a very long prompt is refused at once.
 #[tokio::test(start_paused = true)]
 async fn a_prompt_without_capacity_under_recent_load_is_refused_at_once() {
     let start = Instant::now();
@@ -137,7 +138,7 @@
     let mut now = start;
     for n in 0..40 {
         now += Duration::from_millis(100);
-        // 1.4 s of reading ten times a second, on four engines.
+        // 1.4 s of prefill ten times a second, on four engines.
         pool.enqueue(now, request(now, n, 140_000));
         dispatch(&mut pool, now);
     }
@@ -156,7 +157,7 @@
     );
 }
 
-/// Streams that are late already still bound a pass: a node takes a long silence for a dead engine.
+/// Streams that are late already still limit a pass: a node takes a long silence for a dead engine.
 #[tokio::test(start_paused = true)]
 async fn late_streams_are_not_stalled() {
     let now = Instant::now();
@@ -176,7 +177,8 @@
     }
 }
 
-/// Two engines would read a prompt of 531k tokens for 7.6 s, and its memory would lie unused.
+/// Two engines would prefill a prompt of 531,000 tokens for 7.6 s, and the reserved memory would be
+/// unused.
 #[tokio::test(start_paused = true)]
 async fn memory_is_not_reserved_for_a_prefill_of_many_seconds() {
     let now = Instant::now();
--- a/crates/azuresaddle-sched/tests/suite/passes/mod.rs
+++ b/crates/azuresaddle-sched/tests/suite/passes/mod.rs
@@ -1,4 +1,4 @@
-//! Placement on engines that work in passes.
+//! Placement of streams on engines that process their work in passes.
 
 mod account_shares;
 mod crowd;
@@ -63,7 +63,7 @@
     }
 }
 
-/// Dispatches and returns the grants by number.
+/// Dispatches and returns the grants with the numbers of their requests.
 fn dispatch(pool: &mut PassPool, now: Instant) -> Vec<(u64, PlacementGrant)> {
     pool.dispatch(now);
     let granted = |(id, decision): (PlacementId, PlacementDecision)| match decision {
--- a/crates/azuresaddle-sched/tests/suite/passes/pace_probes.rs
+++ b/crates/azuresaddle-sched/tests/suite/passes/pace_probes.rs
@@ -1,4 +1,4 @@
-//! Slow engines.
+//! Detection and avoidance of slow engines.
 
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
         pool.take_pace_probes(late),
         std::slice::from_ref(&grant.lead)
     );
-    // One answer settles it.
+    // One report of full speed clears the suspicion.
     pool.on_pace(late, &grant.lead, 1.0);
     let later = late + Duration::from_secs(5);
     assert_eq!(pool.take_pace_probes(later), []);
@@ -77,7 +77,7 @@
     assert!(grant.first_event_in < Duration::from_millis(100));
 }
 
-/// The owner was held up, so every first event seems overdue.
+/// When the owner was stalled, every first event seems overdue.
 #[tokio::test(start_paused = true)]
 async fn probes_of_all_engines_are_spread_over_time_and_skip_none() {
     const ENGINES: usize = 150;
--- a/crates/azuresaddle-sched/tests/suite/passes/rate_limits.rs
+++ b/crates/azuresaddle-sched/tests/suite/passes/rate_limits.rs
@@ -1,4 +1,4 @@
-//! Engines that limit their rate.
+//! Rate limits of engines.
 
 use azuresaddle_core::deployment::RateLimit;
 
@@ -9,7 +9,8 @@
     RateLimit::per_second(rate).unwrap()
 }
 
-/// A day of short prompts, one each 20 ms; when each engine got a stream, as the lead or as a helper.
+/// Sends a prompt every 20 ms, one in 25 of them long. Returns when each engine received a stream,
+/// as the lead or as a helper.
 fn run_load(pool: &mut PassPool, from: Instant, length: Duration) -> Vec<(HostName, Instant)> {
     let mut placed = Vec::new();
     let mut running: Vec<(Instant, u64)> = Vec::new();
@@ -74,7 +75,7 @@
     assert!(start(&mut pool, now, 2, 3000).is_some());
 }
 
-/// All engines are in need at once.
+/// Every engine is rate-limited, so requests can only wait for their tokens.
 #[test]
 fn requests_wait_for_a_rate_token_that_comes_in_time_and_are_refused_otherwise() {
     let now = Instant::now();
@@ -133,7 +134,7 @@
     assert!(start(&mut pool, now, 1, 3000).is_some());
 }
 
-/// A slow engine is asked for its pace each second.
+/// A slow engine is probed every second.
 #[test]
 fn pace_probes_count_against_the_limit() {
     let now = Instant::now();
--- a/crates/azuresaddle-sched/tests/suite/passes/reference_engine.rs
+++ b/crates/azuresaddle-sched/tests/suite/passes/reference_engine.rs
@@ -1,10 +1,10 @@
-//! The usual engine of the tests and of the benchmark.
+//! Engine specification shared by the tests and the benchmark.
 
 use std::time::Duration;
 
 use azuresaddle_core::deployment::EngineSpec;
 
-/// Its speeds and sizes.
+/// Speeds and sizes of the reference engine.
 pub(crate) fn spec() -> EngineSpec {
     EngineSpec {
         slots: 16,
--- a/crates/azuresaddle-sched/tests/suite/passes/streams.rs
+++ b/crates/azuresaddle-sched/tests/suite/passes/streams.rs
@@ -1,4 +1,4 @@
-//! The ledger.
+//! Tracking of the streams that run on the engines.
 
 use std::time::Duration;
 
@@ -29,15 +29,15 @@
     for n in 1..=3 {
         assert!(start(&mut pool, now, n, 3000).is_some());
     }
-    // The node knew the asks 1 and 2 when it made the listing, and only 2 still runs.
+    // When it sent the listing, the node knew requests 1 and 2, and only 2 was still running.
     let mut still = running_stream(1, 0);
     still.id = id(2);
     pool.sync_node(now, 1, &[still], |id| id.number > 2);
     assert_eq!(pool.running(), 2);
 }
 
-/// An owner that took over believed engines idle that were in the middle of an 8 s read, and gave
-/// them parts of every prompt that came.
+/// After a change of owner, engines in the middle of an 8 s prefill seemed idle to the new owner
+/// and received parts of every prompt.
 #[tokio::test(start_paused = true)]
 async fn a_new_owner_knows_which_engines_are_prefilling() {
     let now = Instant::now();
@@ -52,13 +52,14 @@
     let long = start(&mut pool, now, 2, 60_000).unwrap();
     assert_eq!((long.lead, long.helpers), (name(2), Vec::new()));
 
-    // The first event ends the read sooner than expected.
+    // The first event ends the prefill sooner than expected.
     pool.on_first_event(now, PlacementId { node: 1, number: 1 });
     let next = start(&mut pool, now, 3, 60_000).unwrap();
     assert_eq!((next.lead, next.helpers), (name(1), Vec::new()));
 }
 
-/// Whatever happens, every ask gets exactly one decision and nothing is left in the ledger.
+/// Random sequences of events: every request gets exactly one decision, and no stream stays tracked
+/// after its end.
 #[tokio::test(start_paused = true)]
 async fn every_request_gets_one_decision_and_all_streams_are_released() {
     for seed in 0..30 {
--- a/crates/azuresaddle-sched/tests/suite/passes/suspects.rs
+++ b/crates/azuresaddle-sched/tests/suite/passes/suspects.rs
@@ -1,4 +1,4 @@
-//! Requests that a target has ended under, and which may be the cause.
+//! Requests that were running on a target when it crashed, and may be the cause.
 
 use std::time::Duration;
 
@@ -34,7 +34,8 @@
     assert!(place(&mut pool, now, suspect(now, 2, 1)).is_some());
 }
 
-/// Copies of one request came within half a second and were placed side by side; each ended an engine.
+/// Copies of one request that arrived within half a second were placed side by side, and each
+/// crashed an engine.
 #[tokio::test(start_paused = true)]
 async fn one_copy_of_a_suspect_runs_at_a_time() {
     let now = Instant::now();
@@ -47,7 +48,7 @@
     pool.end(now, id(1), &StreamOutcome::TargetFailed(first.lead));
     let next = dispatch(&mut pool, now);
     assert_eq!(next.len(), 1);
-    // The caller of the copy that runs leaves: the next one has its turn.
+    // The caller of the running copy disconnects, and the next copy is placed.
     pool.end(now, id(next[0].0), &StreamOutcome::Cancelled);
     assert_eq!(dispatch(&mut pool, now).len(), 1);
 }
@@ -78,8 +79,8 @@
     assert!(place(&mut pool, now, suspect(now, 2, 2)).is_some());
 }
 
-/// A crowd of streams is packed on one engine with the request that ends it, goes on packed with it elsewhere, and
-/// comes back with it: only that request may be taken for the cause.
+/// Streams packed on one engine with a crashing request move to another engine with it and are
+/// retried with it. Only that request may be taken for the cause.
 #[tokio::test(start_paused = true)]
 async fn streams_beside_a_crashing_request_are_not_quarantined() {
     let now = Instant::now();
@@ -101,7 +102,7 @@
                 }),
                 ..request(at, number, 3000)
             };
-            // All wait in one moment; some find no engine of their own.
+            // All are requested at the same time; some find no engine of their own.
             let grant = place(&mut pool, at, request);
             if n == cause {
                 ended = grant.as_ref().map(|g| g.lead.clone());
@@ -116,7 +117,7 @@
             }
             pool.end(at, id(number), &StreamOutcome::Cancelled);
         }
-        // Those that found no engine have left.
+        // Withdraw the requests that found no engine.
         for left in 0..number {
             pool.end(at, id(left), &StreamOutcome::Cancelled);
         }
@@ -127,8 +128,9 @@
     }
 }
 
-/// Whether an engine survives a whole answer is looked at a moment later. The cause came to the engine within that
-/// moment and ended it, which was held against the sound stream too.
+/// Whether an engine survives a request is known only a moment after the complete answer. When the
+/// crashing request reached the engine within that moment, the crash was blamed on the harmless one
+/// too.
 #[tokio::test(start_paused = true)]
 async fn an_engine_stays_isolated_until_it_has_survived_a_suspect() {
     let now = Instant::now();
@@ -145,7 +147,7 @@
     pool.end(now, id(1), &StreamOutcome::Done);
     let soon = now + Duration::from_millis(60);
     assert!(place(&mut pool, soon, isolated(soon, 2, 2)).is_none());
-    // Others are not held up by it.
+    // Requests that are not suspects are not delayed by it.
     assert!(start(&mut pool, soon, 3, 3000).is_some());
     let later = now + Duration::from_millis(120);
     assert_eq!(dispatch(&mut pool, later).len(), 1);
