--- a/crates/azuresaddle-sched/src/passes/engine.rs
+++ b/crates/azuresaddle-sched/src/passes/engine.rs
@@ -196,7 +196,7 @@
     ///
     /// Whether the engine survives the request is known only a moment later. If another suspect
     /// crashed the engine within that moment, the crash would be blamed on this request too.
-    pub(super) fn on_whole_answer(&mut self, now: Instant, id: PlacementId) {
+    pub(super) fn on_complete_answer(&mut self, now: Instant, id: PlacementId) {
         let stream = self.led_streams.iter().find(|l| l.id == id);
         if stream.is_some_and(|l| l.needs_isolation) {
             self.isolated_until = now + SURVIVAL_TIME;
--- a/crates/azuresaddle-sched/src/passes/long_plan.rs
+++ b/crates/azuresaddle-sched/src/passes/long_plan.rs
@@ -48,7 +48,7 @@
 
 /// Engines for a prompt and the expected effect of using them.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) struct LongPlan {
+pub(super) struct PlacementPlan {
     /// The engines; the first one is the lead.
     pub(super) engines: Vec<EngineKey>,
     /// Prefill on each engine, in milliseconds.
@@ -65,7 +65,7 @@
     pub(super) lead_decodes_alone: bool,
 }
 
-impl LongPlan {
+impl PlacementPlan {
     /// Whether the first event comes in time.
     pub(super) fn is_on_time(&self, now: Instant, request: &PlacementRequest) -> bool {
         now + Duration::from_secs_f64(self.first_event_ms / 1000.0) <= request.first_event_by
@@ -117,7 +117,7 @@
     request: &PlacementRequest,
     prefill_ms: f64,
     delayed_tokens: u64,
-) -> Option<LongPlan> {
+) -> Option<PlacementPlan> {
     let candidates = candidates.for_request(view, request);
     let memory = request.prompt_tokens + request.answer_tokens;
     let fewest = memory.div_ceil(view.spec.memory_tokens.max(1)) as usize;
@@ -126,7 +126,7 @@
     } else {
         fewest
     });
-    let mut best: Option<(f64, LongPlan)> = None;
+    let mut best: Option<(f64, PlacementPlan)> = None;
     for count in 1..=most {
         let part_ms = prefill_ms / count as f64;
         let split = Split {
@@ -174,7 +174,7 @@
     view: &PoolView<'_>,
     candidates: &[LongCandidate],
     split: &Split<'_>,
-) -> Option<LongPlan> {
+) -> Option<PlacementPlan> {
     let spec = view.spec;
     let others = split.count as u64 - 1;
     let helper_memory_tokens = if split.memory <= spec.memory_tokens {
@@ -212,7 +212,7 @@
         .iter()
         .map(|c| c.start_ms + c.base_ms + split.part_ms * c.pace_factor)
         .fold(0.0, f64::max);
-    Some(LongPlan {
+    Some(PlacementPlan {
         engines: chosen.iter().map(|c| c.key).collect(),
         part_ms: split.part_ms,
         start_ms,
@@ -300,7 +300,10 @@
 }
 
 /// Names of a plan's helpers.
-pub(super) fn helper_names(engines: &SlotMap<EngineKey, Engine>, plan: &LongPlan) -> Vec<HostName> {
+pub(super) fn helper_names(
+    engines: &SlotMap<EngineKey, Engine>,
+    plan: &PlacementPlan,
+) -> Vec<HostName> {
     plan.engines[1..]
         .iter()
         .map(|key| engines[*key].name.clone())
--- a/crates/azuresaddle-sched/src/passes/pace.rs
+++ b/crates/azuresaddle-sched/src/passes/pace.rs
@@ -56,7 +56,7 @@
     }
 
     /// Marks the engine as suspected of slowness after an overdue first event.
-    pub(super) fn suspect(&mut self) {
+    pub(super) fn mark_suspected(&mut self) {
         self.is_suspected = true;
     }
 
--- a/crates/azuresaddle-sched/src/passes/pool/load.rs
+++ b/crates/azuresaddle-sched/src/passes/pool/load.rs
@@ -37,14 +37,14 @@
 impl PassPool {
     /// Returns the current load.
     pub fn load(&self, now: Instant) -> PoolLoad {
-        let engines = self.open_engines(now);
+        let engines = self.available_engines(now);
         let waiting = self.queue.iter();
         let waiting_ms: f64 = waiting
             .filter(|w| !self.is_short(w.prefill_ms))
             .map(|w| w.prefill_ms)
             .sum();
-        let begun = self.engines.values();
-        let begun_ms: f64 = begun
+        let engine_states = self.engines.values();
+        let started_ms: f64 = engine_states
             .map(|e| {
                 let prefill = e.prefill_until.saturating_duration_since(now);
                 e.queued_prefill_ms + prefill.as_secs_f64() * 1000.0
@@ -54,7 +54,7 @@
             slots: engines * self.spec.slots as usize,
             engines,
             streams: self.placed_streams.len() + self.queue.len(),
-            prefill: Duration::from_secs_f64((waiting_ms + begun_ms) / 1000.0),
+            prefill: Duration::from_secs_f64((waiting_ms + started_ms) / 1000.0),
         }
     }
 }
--- a/crates/azuresaddle-sched/src/passes/pool/mod.rs
+++ b/crates/azuresaddle-sched/src/passes/pool/mod.rs
@@ -20,7 +20,7 @@
 use super::engine::{Engine, EngineKey};
 use super::long_load::LongLoad;
 use super::options::PassOptions;
-use super::queue::{Order, Queue, Waiting};
+use super::queue::{Queue, QueuePosition, Waiting};
 use super::request::{PlacementDecision, PlacementId, PlacementRequest, StreamOutcome};
 use super::short_load::ShortLoad;
 use crate::fair_clock::FairClock;
@@ -49,14 +49,14 @@
     options: PassOptions,
     spec: EngineSpec,
     engines: SlotMap<EngineKey, Engine>,
-    names: HashMap<HostName, EngineKey>,
+    keys_by_name: HashMap<HostName, EngineKey>,
     queue: Queue,
     long_load: LongLoad,
     short_load: ShortLoad,
     /// Since when at least `MIN_CROWD` short prompts have waited; `None` if fewer wait.
     crowd_since: Option<Instant>,
     /// Fair queueing of the client accounts, for short and for long prompts.
-    fair: [FairClock; 2],
+    fair_clocks: [FairClock; 2],
     placed_streams: HashMap<PlacementId, PlacedStream>,
     decisions: Vec<(PlacementId, PlacementDecision)>,
     /// Next check of all waiting requests for refusal.
@@ -75,12 +75,12 @@
             options,
             spec,
             engines: SlotMap::with_key(),
-            names: HashMap::new(),
+            keys_by_name: HashMap::new(),
             queue: Queue::default(),
             long_load: LongLoad::default(),
             short_load: ShortLoad::default(),
             crowd_since: None,
-            fair: Default::default(),
+            fair_clocks: Default::default(),
             placed_streams: HashMap::new(),
             decisions: Vec::new(),
             next_refusal_check: Instant::now(),
@@ -105,14 +105,14 @@
         domain: &FailureDomain,
         leaving: bool,
     ) {
-        if let Some(key) = self.names.get(name) {
+        if let Some(key) = self.keys_by_name.get(name) {
             self.engines[*key].leaving = leaving;
             return;
         }
         let mut engine = Engine::new(now, name.clone(), domain.clone());
         engine.leaving = leaving;
         let key = self.engines.insert(engine);
-        self.names.insert(name.clone(), key);
+        self.keys_by_name.insert(name.clone(), key);
     }
 
     /// Records the start of the engine process that a report comes from. Returns false if the
@@ -122,7 +122,7 @@
     /// A restarted engine holds none of its streams and memory, and the recorded speed and failures
     /// belong to the earlier process.
     pub fn note_start(&mut self, now: Instant, name: &HostName, started: TargetStart) -> bool {
-        let Some(key) = self.names.get(name).copied() else {
+        let Some(key) = self.keys_by_name.get(name).copied() else {
             return false;
         };
         let known = &self.engines[key];
@@ -142,13 +142,13 @@
         self.engines.remove(key);
         // A new key makes later ends of streams of the earlier start refer to no engine.
         let key = self.engines.insert(engine);
-        self.names.insert(name.clone(), key);
+        self.keys_by_name.insert(name.clone(), key);
         true
     }
 
     /// Removes the engines for which `keep` returns false.
     pub fn retain_engines(&mut self, keep: impl Fn(&HostName) -> bool) {
-        self.names.retain(|name, key| {
+        self.keys_by_name.retain(|name, key| {
             let kept = keep(name);
             if !kept {
                 self.engines.remove(*key);
@@ -164,13 +164,13 @@
             return;
         }
         let prefill_ms = self.spec.prefill_ms(request.prompt_tokens);
-        let before = self.queue.len();
+        let requests_ahead = self.queue.len();
         let unservable = self.unservable_retry_after(
             now,
             &request,
             prefill_ms,
             self.prefill_ahead_ms(prefill_ms),
-            before,
+            requests_ahead,
         );
         let refused = unservable
             .or_else(|| self.flood_retry_after(now, &request))
@@ -183,29 +183,29 @@
         if !self.is_short(prefill_ms) {
             self.long_load.on_arrival(now, prefill_ms);
         }
-        let order = self.order_of(&request, prefill_ms);
-        let clock = &mut self.fair[usize::from(!self.is_short(prefill_ms))];
-        let turn = clock.tag(&request.account, prefill_ms / 1000.0, 1.0);
+        let position = self.position_of(&request, prefill_ms);
+        let clock = &mut self.fair_clocks[usize::from(!self.is_short(prefill_ms))];
+        let fair_tag = clock.tag(&request.account, prefill_ms / 1000.0, 1.0);
         self.queue.push(Waiting {
             request,
             prefill_ms,
-            order,
-            turn,
-            asked_at: now,
+            position,
+            fair_tag,
+            queued_at: now,
         });
     }
 
     /// Position that a request would get in the queue now.
-    fn order_of(&self, request: &PlacementRequest, prefill_ms: f64) -> Order {
+    fn position_of(&self, request: &PlacementRequest, prefill_ms: f64) -> QueuePosition {
         let is_long = !self.is_short(prefill_ms);
         let key = if is_long && self.options.shortest_first {
             prefill_ms
         } else if self.options.fair_shares {
-            self.fair[usize::from(is_long)].next_turn(&request.account)
+            self.fair_clocks[usize::from(is_long)].next_turn(&request.account)
         } else {
             0.0
         };
-        Order::new(is_long, key)
+        QueuePosition::new(is_long, key)
     }
 
     /// Withdraws a request or ends its stream.
@@ -216,7 +216,7 @@
                 self.note_failure(now, name);
             }
             StreamOutcome::TargetBacksOff { target, time } => {
-                if let Some(key) = self.names.get(target) {
+                if let Some(key) = self.keys_by_name.get(target) {
                     self.engines[*key].breaker.on_back_off(now, *time);
                 }
             }
@@ -224,7 +224,7 @@
                 let lead = self.placed_streams.get(&id).map(|stream| stream.lead);
                 if let Some(engine) = lead.and_then(|key| self.engines.get_mut(key)) {
                     engine.breaker.on_success();
-                    engine.on_whole_answer(now, id);
+                    engine.on_complete_answer(now, id);
                 }
             }
             StreamOutcome::Cancelled => {}
@@ -250,8 +250,8 @@
                 continue;
             };
             engine.end_inherited_prefill(now, id);
-            for help in engine.helper_parts.iter_mut().filter(|h| h.id == id) {
-                help.is_prefilled = true;
+            for part in engine.helper_parts.iter_mut().filter(|h| h.id == id) {
+                part.is_prefilled = true;
             }
             engine
                 .helper_parts
@@ -264,7 +264,7 @@
     pub fn dispatch(&mut self, now: Instant) {
         if self.queue.is_empty() {
             self.crowd_since = None;
-            for clock in &mut self.fair {
+            for clock in &mut self.fair_clocks {
                 clock.on_idle();
             }
             return;
--- a/crates/azuresaddle-sched/src/passes/pool/pace_probes.rs
+++ b/crates/azuresaddle-sched/src/passes/pool/pace_probes.rs
@@ -64,7 +64,7 @@
             stream.overdue_at = None;
             for key in std::iter::once(&stream.lead).chain(&stream.helpers) {
                 if let Some(engine) = self.engines.get_mut(*key) {
-                    engine.pace.suspect();
+                    engine.pace.mark_suspected();
                 }
             }
         }
@@ -72,13 +72,13 @@
         let probes = &mut self.probes;
         let engines = self.engines.values_mut();
         // A probe counts against the engine's rate limit.
-        let may_ask = |e: &Engine| e.rate.is_none_or(|rate| rate.has_token(now));
-        let is_due = |e: &&mut Engine| e.pace.is_probe_due(now) && may_ask(e);
+        let may_probe = |e: &Engine| e.rate.is_none_or(|rate| rate.has_token(now));
+        let is_due = |e: &&mut Engine| e.pace.is_probe_due(now) && may_probe(e);
         let mut due: Vec<&mut Engine> = engines.filter(is_due).collect();
         // Engines probed longest ago come first, so that none is left out for good.
         due.sort_by_key(|e| e.pace.last_probe_at());
-        let asked = due.into_iter().take_while(|_| probes.take());
-        asked
+        let probed = due.into_iter().take_while(|_| probes.take());
+        probed
             .map(|e| {
                 e.pace.on_probe(now);
                 e.take_rate_token(now);
@@ -90,7 +90,11 @@
     /// Records the slowdown that an engine reports, relative to a reference engine (1 for full
     /// speed).
     pub fn on_pace(&mut self, now: Instant, name: &HostName, factor: f64) {
-        let Some(engine) = self.names.get(name).and_then(|k| self.engines.get_mut(*k)) else {
+        let Some(engine) = self
+            .keys_by_name
+            .get(name)
+            .and_then(|k| self.engines.get_mut(*k))
+        else {
             return;
         };
         engine.advance(now, &self.spec);
--- a/crates/azuresaddle-sched/src/passes/pool/placement.rs
+++ b/crates/azuresaddle-sched/src/passes/pool/placement.rs
@@ -7,7 +7,7 @@
 use super::PassPool;
 use super::streams::StreamRecord;
 use crate::passes::long_candidates::LongCandidates;
-use crate::passes::long_plan::{LongPlan, helper_names, plan_long};
+use crate::passes::long_plan::{PlacementPlan, helper_names, plan_long};
 use crate::passes::pace::overdue_at;
 use crate::passes::pool_view::PoolView;
 use crate::passes::queue::Waiting;
@@ -97,7 +97,7 @@
                 continue;
             };
             let engine = plan.engine;
-            let plan = LongPlan {
+            let plan = PlacementPlan {
                 engines: vec![engine],
                 part_ms: waiting.prefill_ms,
                 start_ms: 0.0,
@@ -132,7 +132,7 @@
         if !self.queue.has_long() {
             return;
         }
-        let open = self.open_engines(now);
+        let available = self.available_engines(now);
         loop {
             let view = self.view(now);
             let candidates = LongCandidates::new(&view);
@@ -144,7 +144,7 @@
                 .filter(|w| !self.must_wait_for_copy(&w.request))
                 .take(MAX_TRIED)
                 .find_map(|w| {
-                    let plan = self.plan_for(&view, &candidates, w, open)?;
+                    let plan = self.plan_for(&view, &candidates, w, available)?;
                     Some((w.request.id, plan))
                 });
             let Some((id, plan)) = found else {
@@ -163,8 +163,8 @@
         view: &PoolView<'_>,
         candidates: &LongCandidates,
         waiting: &Waiting,
-        open: usize,
-    ) -> Option<LongPlan> {
+        available: usize,
+    ) -> Option<PlacementPlan> {
         let Waiting {
             request,
             prefill_ms,
@@ -172,13 +172,14 @@
         } = waiting;
         let now = view.now;
         let plan = plan_long(view, candidates, request, *prefill_ms, 0);
-        let should_start =
-            |p: &LongPlan| !self.options.wait_for_engines || p.should_start(now, request, open);
+        let should_start = |p: &PlacementPlan| {
+            !self.options.wait_for_engines || p.should_start(now, request, available)
+        };
         let plan = plan.filter(should_start);
         if plan.as_ref().is_some_and(|p| p.is_on_time(now, request)) || !self.options.break_pauses {
             return plan;
         }
-        let waited = now.saturating_duration_since(waiting.asked_at);
+        let waited = now.saturating_duration_since(waiting.queued_at);
         let left = request.first_event_by.saturating_duration_since(now);
         if left.is_zero() || waited < left.mul_f64(DELAY_OTHERS_AFTER) {
             return plan;
@@ -190,12 +191,12 @@
             .or(plan)
     }
 
-    pub(super) fn start(&mut self, now: Instant, waiting: Waiting, plan: &LongPlan) {
+    pub(super) fn start(&mut self, now: Instant, waiting: Waiting, plan: &PlacementPlan) {
         let is_long = !self.is_short(waiting.prefill_ms);
         if !is_long {
             self.short_load.on_start(now);
         }
-        self.fair[usize::from(is_long)].on_dispatch(waiting.turn);
+        self.fair_clocks[usize::from(is_long)].on_dispatch(waiting.fair_tag);
         let request = waiting.request;
         let grant = PlacementGrant {
             lead: self.engines[plan.engines[0]].name.clone(),
--- a/crates/azuresaddle-sched/src/passes/pool/rate_limits.rs
+++ b/crates/azuresaddle-sched/src/passes/pool/rate_limits.rs
@@ -47,9 +47,13 @@
         }
     }
 
-    /// Expected time until a request behind `before` others gets a token of a rate-limited engine;
-    /// `None` if no such engine accepts work.
-    pub(super) fn rate_limited_wait(&self, now: Instant, before: usize) -> Option<Duration> {
+    /// Expected time until a request with `requests_ahead` others ahead of it gets a token of a
+    /// rate-limited engine; `None` if no such engine accepts work.
+    pub(super) fn rate_limited_wait(
+        &self,
+        now: Instant,
+        requests_ahead: usize,
+    ) -> Option<Duration> {
         if !self.is_owner {
             return None;
         }
@@ -60,6 +64,6 @@
         let rates: Vec<RateBucket> = available.filter_map(|e| e.rate).collect();
         let next = rates.iter().map(|r| r.next_token_in(now)).min()?;
         let together: f64 = rates.iter().map(RateBucket::rate).sum();
-        Some(next + Duration::from_secs_f64(before as f64 / together))
+        Some(next + Duration::from_secs_f64(requests_ahead as f64 / together))
     }
 }
--- a/crates/azuresaddle-sched/src/passes/pool/refusals.rs
+++ b/crates/azuresaddle-sched/src/passes/pool/refusals.rs
@@ -6,7 +6,7 @@
 
 use super::PassPool;
 use crate::passes::long_plan::MAX_ENGINES_PER_PROMPT;
-use crate::passes::queue::{Order, Waiting};
+use crate::passes::queue::{QueuePosition, Waiting};
 use crate::passes::request::{PlacementDecision, PlacementRequest};
 
 /// Time between two checks of all waiting requests; a tenth of the time that a short one can wait.
@@ -82,19 +82,21 @@
         if !self.options.refuse_crowded || !self.is_short(prefill_ms) {
             return None;
         }
-        let ahead = self.queue.count_before(self.order_of(request, prefill_ms));
+        let ahead = self
+            .queue
+            .count_before(self.position_of(request, prefill_ms));
         if ahead < MIN_CROWD || !self.crowd_persists(now) {
             return None;
         }
-        let open = self.open_engines(now);
-        let wait = self.short_load.expected_wait(now, ahead, open.max(1));
+        let available = self.available_engines(now);
+        let wait = self.short_load.expected_wait(now, ahead, available.max(1));
         let left = request.first_event_by.saturating_duration_since(now);
         (wait > left.mul_f64(CROWD_WAIT_SHARE).max(MIN_CROWD_WAIT)).then_some(CROWD_RETRY_AFTER)
     }
 
     /// Updates since when a crowd of short prompts waits.
     pub(super) fn update_crowd(&mut self, now: Instant) {
-        let is_crowd = self.queue.count_before(Order::new(true, 0.0)) >= MIN_CROWD;
+        let is_crowd = self.queue.count_before(QueuePosition::new(true, 0.0)) >= MIN_CROWD;
         self.crowd_since = is_crowd.then(|| self.crowd_since.unwrap_or(now));
     }
 
@@ -109,7 +111,7 @@
     fn late_in_crowd_retry_after(&self, now: Instant, waiting: &Waiting) -> Option<Duration> {
         let is_late = waiting.request.first_event_by <= now;
         let is_crowd =
-            self.queue.count_before(waiting.order) >= MIN_CROWD && self.crowd_persists(now);
+            self.queue.count_before(waiting.position) >= MIN_CROWD && self.crowd_persists(now);
         let applies = self.options.refuse_crowded && self.is_short(waiting.prefill_ms);
         (applies && is_late && is_crowd).then_some(CROWD_RETRY_AFTER)
     }
@@ -122,11 +124,11 @@
         request: &PlacementRequest,
         prefill_ms: f64,
         prefill_ahead_ms: f64,
-        before: usize,
+        requests_ahead: usize,
     ) -> Option<Duration> {
-        let open = self.open_engines(now);
-        if open == 0 {
-            return self.no_engine_retry_after(now, request, before);
+        let available = self.available_engines(now);
+        if available == 0 {
+            return self.no_engine_retry_after(now, request, requests_ahead);
         }
         // The engines' interface limits how many engines hold one prompt.
         let most_engines = self.engines.len().min(MAX_ENGINES_PER_PROMPT) as u64;
@@ -134,8 +136,8 @@
         if memory > most_engines * self.spec.memory_tokens {
             return Some(MAX_RETRY_AFTER);
         }
-        let wait = self.expected_wait(now, prefill_ms, prefill_ahead_ms, open);
-        let least = self.min_prefill_time(prefill_ms, open);
+        let wait = self.expected_wait(now, prefill_ms, prefill_ahead_ms, available);
+        let least = self.min_prefill_time(prefill_ms, available);
         let comes_at = now + wait + least;
         if comes_at <= request.give_up_at && comes_at + request.decode_time() <= request.deadline {
             return None;
@@ -149,9 +151,9 @@
         &self,
         now: Instant,
         request: &PlacementRequest,
-        before: usize,
+        requests_ahead: usize,
     ) -> Option<Duration> {
-        let Some(wait) = self.rate_limited_wait(now, before) else {
+        let Some(wait) = self.rate_limited_wait(now, requests_ahead) else {
             return Some(MIN_RETRY_AFTER);
         };
         let is_late = request.first_event_by <= now;
@@ -163,7 +165,7 @@
         (now + wait > latest).then(|| wait.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER))
     }
 
-    pub(super) fn open_engines(&self, now: Instant) -> usize {
+    pub(super) fn available_engines(&self, now: Instant) -> usize {
         self.engines
             .values()
             .filter(|e| e.accepts_work(now))
@@ -171,11 +173,11 @@
     }
 
     /// Time to prefill a prompt with all engines that may take part.
-    pub(super) fn min_prefill_time(&self, prefill_ms: f64, open: usize) -> Duration {
+    pub(super) fn min_prefill_time(&self, prefill_ms: f64, available: usize) -> Duration {
         let split = if self.is_short(prefill_ms) {
             1
         } else {
-            open.clamp(1, MAX_ENGINES_PER_PROMPT)
+            available.clamp(1, MAX_ENGINES_PER_PROMPT)
         };
         Duration::from_secs_f64(prefill_ms / split as f64 / 1000.0)
     }
@@ -187,14 +189,14 @@
         now: Instant,
         prefill_ms: f64,
         prefill_ahead_ms: f64,
-        open: usize,
+        available: usize,
     ) -> Duration {
         if self.is_short(prefill_ms) || !self.options.refuse_early {
             return Duration::ZERO;
         }
-        let share = self.long_load.free_share(now, prefill_ms, open);
-        let wait_ms =
-            (prefill_ahead_ms + prefill_ms) / (open as f64 * share) - prefill_ms / open as f64;
+        let share = self.long_load.free_share(now, prefill_ms, available);
+        let wait_ms = (prefill_ahead_ms + prefill_ms) / (available as f64 * share)
+            - prefill_ms / available as f64;
         Duration::from_secs_f64(wait_ms.max(0.0) / 1000.0)
     }
 
--- a/crates/azuresaddle-sched/src/passes/pool/streams.rs
+++ b/crates/azuresaddle-sched/src/passes/pool/streams.rs
@@ -24,7 +24,7 @@
 
 impl PassPool {
     pub(super) fn note_failure(&mut self, now: Instant, name: &HostName) {
-        if let Some(key) = self.names.get(name) {
+        if let Some(key) = self.keys_by_name.get(name) {
             self.engines[*key].breaker.on_failure(now);
         }
     }
@@ -73,13 +73,13 @@
 
     pub(super) fn adopt_stream(&mut self, now: Instant, stream: &RunningStream) {
         self.queue.remove(stream.id);
-        let Some(lead) = self.names.get(&stream.lead).copied() else {
+        let Some(lead) = self.keys_by_name.get(&stream.lead).copied() else {
             return;
         };
         let helpers: Vec<EngineKey> = stream
             .helpers
             .iter()
-            .filter_map(|name| self.names.get(name).copied())
+            .filter_map(|name| self.keys_by_name.get(name).copied())
             .collect();
         let record = StreamRecord {
             id: stream.id,
--- a/crates/azuresaddle-sched/src/passes/queue.rs
+++ b/crates/azuresaddle-sched/src/passes/queue.rs
@@ -9,16 +9,16 @@
 use crate::fair_clock::FairTag;
 
 /// Sort key of a waiting request: its position, then its arrival number.
-type Rank = (Order, u64);
+type Rank = (QueuePosition, u64);
 
 /// Position of a request in the queue; all short prompts come before all long ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct Order {
+pub(super) struct QueuePosition {
     is_long: bool,
     micros: u64,
 }
 
-impl Order {
+impl QueuePosition {
     /// Creates a position among the short or the long prompts; the lowest `key` comes first.
     pub(super) fn new(is_long: bool, key: f64) -> Self {
         // Millionths preserve the order of requests that differ by a few tokens.
@@ -33,10 +33,10 @@
     pub(super) request: PlacementRequest,
     /// Time to prefill the prompt on one engine, in milliseconds.
     pub(super) prefill_ms: f64,
-    pub(super) order: Order,
+    pub(super) position: QueuePosition,
     /// Its position in the fair queueing among client accounts.
-    pub(super) turn: FairTag,
-    pub(super) asked_at: Instant,
+    pub(super) fair_tag: FairTag,
+    pub(super) queued_at: Instant,
 }
 
 /// Waiting requests of one client account.
@@ -63,11 +63,11 @@
 impl Queue {
     pub(super) fn push(&mut self, waiting: Waiting) {
         self.arrivals += 1;
-        let rank = (waiting.order, self.arrivals);
+        let rank = (waiting.position, self.arrivals);
         self.ranks.insert(waiting.request.id, rank);
         let first = AccountQueue {
             count: 0,
-            since: waiting.asked_at,
+            since: waiting.queued_at,
         };
         let account = waiting.request.account.clone();
         self.by_account.entry(account).or_insert(first).count += 1;
@@ -93,20 +93,20 @@
 
     /// Waiting long prompts in queue order.
     pub(super) fn iter_long(&self) -> impl Iterator<Item = &Waiting> {
-        let first = Order::new(true, 0.0);
+        let first = QueuePosition::new(true, 0.0);
         self.by_rank.range((first, 0)..).map(|(_, w)| w)
     }
 
     /// Number of waiting requests before a position in the queue, counted up to a bound.
-    pub(super) fn count_before(&self, order: Order) -> usize {
-        let before = self.by_rank.range(..(order, 0));
+    pub(super) fn count_before(&self, position: QueuePosition) -> usize {
+        let before = self.by_rank.range(..(position, 0));
         before.take(MAX_COUNTED).count()
     }
 
     /// Whether a long prompt waits; long prompts are at the end of the queue.
     pub(super) fn has_long(&self) -> bool {
         let last = self.by_rank.last_key_value();
-        last.is_some_and(|((order, _), _)| order.is_long)
+        last.is_some_and(|((position, _), _)| position.is_long)
     }
 
     /// Returns the waiting requests of a client account.
