--- a/crates/azuresaddle-sched/src/passes/long_plan.rs
+++ b/crates/azuresaddle-sched/src/passes/long_plan.rs
@@ -19,8 +19,8 @@
 /// helpers.
 pub(super) const MAX_ENGINES_PER_PROMPT: usize = 17;
 
-/// Minimum gain from one more engine, in milliseconds; covers its own wait for a pass and its
-/// messages.
+/// Minimum time that one more engine must save, in milliseconds. It covers that engine's own wait
+/// for a pass and its messages.
 const HELPER_COST_MS: f64 = 2.0;
 
 /// Longest part of a prompt that is late in any case, in milliseconds. Such a prompt waits for more
@@ -31,11 +31,12 @@
 /// time.
 const GIVE_UP_MARGIN: Duration = Duration::from_secs(4);
 
-/// Minimum gain from a plan that decodes on an engine without other streams, in milliseconds;
-/// accounts for the passes that it takes from that engine.
+/// Minimum time that a plan must save to decode on an engine without other streams, in
+/// milliseconds. It accounts for the passes that the stream takes from that engine.
 const LONE_DECODE_COST_MS: f64 = 200.0;
 
-/// Minimum gain per 1,000 prompt tokens of streams that are made late, in milliseconds.
+/// Minimum time that a plan must save per 1,000 prompt tokens of streams that it makes late, in
+/// milliseconds.
 const DELAY_COST_MS_PER_1K_TOKENS: f64 = 4.0;
 
 /// Longest time until all engines of a plan begin, in milliseconds. Plans that begin later wait, so
@@ -274,8 +275,8 @@
 /// A decode step costs nearly the same for one stream as for sixteen, and a decoding stream limits
 /// every later part on its engine. So the answer is decoded where other streams already are,
 /// preferring those with the shortest pauses, and engines without streams stay free for the longest
-/// parts. Decoding the answer to a medium-length prompt alone takes four times the
-/// engine time that its prefill takes.
+/// parts. Decoding the answer to a medium-length prompt alone takes four times the engine time that
+/// its prefill takes.
 fn best_lead<'a>(
     able: impl Iterator<Item = &'a LongCandidate>,
     is_local: impl Fn(&LongCandidate) -> bool,
--- a/crates/azuresaddle-sched/src/passes/pool/refusals.rs
+++ b/crates/azuresaddle-sched/src/passes/pool/refusals.rs
@@ -47,8 +47,8 @@
 const CROWD_RETRY_AFTER: Duration = Duration::from_millis(2000);
 
 impl PassPool {
-    /// Returns the retry delay if one client account has more than half of the queue,
-    /// has reached its limit, and has had requests waiting for `FLOOD_AGE`.
+    /// Returns the retry delay if one client account has more than half of the queue, has reached
+    /// its limit, and has had requests waiting for at least [`FLOOD_AGE`].
     ///
     /// When an account sends several times what the engines can handle, its requests come last in
     /// the queue, but its late requests would still fill every engine.
@@ -94,7 +94,7 @@
         (wait > left.mul_f64(CROWD_WAIT_SHARE).max(MIN_CROWD_WAIT)).then_some(CROWD_RETRY_AFTER)
     }
 
-    /// Updates since when a crowd of short prompts waits.
+    /// Updates since when a crowd of short prompts (at least [`MIN_CROWD`]) waits.
     pub(super) fn update_crowd(&mut self, now: Instant) {
         let is_crowd = self.queue.count_before(QueuePosition::new(true, 0.0)) >= MIN_CROWD;
         self.crowd_since = is_crowd.then(|| self.crowd_since.unwrap_or(now));
@@ -116,8 +116,8 @@
         (applies && is_late && is_crowd).then_some(CROWD_RETRY_AFTER)
     }
 
-    /// Returns the retry delay if the request cannot be served in time; `before` requests are ahead
-    /// of it.
+    /// Returns the retry delay if the request cannot be served in time, given the number of
+    /// requests and the long prompts' prefill ahead of it.
     pub(super) fn unservable_retry_after(
         &self,
         now: Instant,
--- a/crates/azuresaddle-sched/src/passes/queue.rs
+++ b/crates/azuresaddle-sched/src/passes/queue.rs
@@ -47,8 +47,7 @@
     pub(super) since: Instant,
 }
 
-/// Upper bound for [`Queue::count_before`]. The limits compared with the count are far lower, and
-/// counting must stay cheap.
+/// Upper bound for [`Queue::count_before`]. A crowd is far smaller, and counting must stay cheap.
 const MAX_COUNTED: usize = 256;
 
 /// Waiting requests in queue order.
--- a/crates/azuresaddle-sched/src/passes/request.rs
+++ b/crates/azuresaddle-sched/src/passes/request.rs
@@ -142,7 +142,7 @@
     pub answer_tokens: u64,
     /// Longest acceptable pause between events.
     pub pause: Duration,
-    /// Whether the first event has come.
+    /// Whether the first event has arrived.
     pub is_decoding: bool,
     /// Expected time until the first event; zero if it has arrived or is overdue.
     pub first_event_in: Duration,
