--- a/crates/azuresaddle-edge/src/control/actor.rs
+++ b/crates/azuresaddle-edge/src/control/actor.rs
@@ -13,14 +13,14 @@
 use tokio_util::sync::CancellationToken;
 
 use super::crash_writer::{CrashWrite, write_crashes};
-use super::crashes::CrashSpread;
+use super::crashes::CrashGossip;
 use super::era_probe::probe_era;
 use super::fetch::Fetched;
 use super::heartbeat::{MAX_BYTES, MemberState};
 use super::members::{Members, TICK};
 use super::registry::Registry;
 use super::signal_records::SignalRecords;
-use super::signals::SignalSpread;
+use super::signals::SignalGossip;
 use super::start_gate::StartGate;
 use super::store_watch::{StoreEvent, watch_store};
 use super::stored_crashes::StoredCrashes;
@@ -104,8 +104,8 @@
     pub(super) crashes_seen: mpsc::Receiver<CrashUpdate>,
     pub(super) signals_observed: mpsc::Receiver<ObservedSignals>,
     pub(super) signals: SignalRecords,
-    pub(super) signal_spread: SignalSpread,
-    pub(super) crash_spread: CrashSpread,
+    pub(super) signal_gossip: SignalGossip,
+    pub(super) crash_gossip: CrashGossip,
     pub(super) stored_crashes: StoredCrashes,
     /// Crashes that the store should keep.
     pub(super) crash_writes: mpsc::Sender<CrashWrite>,
@@ -183,8 +183,8 @@
             crashes_seen: parts.crashes_seen,
             signals_observed: parts.signals_observed,
             signals: SignalRecords::default(),
-            signal_spread: SignalSpread::default(),
-            crash_spread: CrashSpread::default(),
+            signal_gossip: SignalGossip::default(),
+            crash_gossip: CrashGossip::default(),
             stored_crashes: StoredCrashes::default(),
             crash_writes,
             metrics: parts.metrics,
@@ -202,7 +202,8 @@
         loop {
             let publish_at = self.published_at + MIN_PUBLISH_INTERVAL;
             let discovery_ends = self.discovery_ends();
-            let holds_back = self.holds_back() && Instant::now() < discovery_ends;
+            let has_deferred_configuration =
+                self.has_deferred_configuration() && Instant::now() < discovery_ends;
             let changed = tokio::select! {
                 received = self.socket.recv_from(&mut buf) => match received {
                     Ok((len, from)) => self.on_datagram(from, &buf[..len]).await,
@@ -218,18 +219,18 @@
                     self.on_crash_seen(update).await;
                     false
                 }
-                Some(heard) = self.signals_observed.recv() => self.on_signals_observed(&heard).await,
+                Some(observed) = self.signals_observed.recv() => self.on_signals_observed(&observed).await,
                 Some(node) = self.no_answer.recv() => self.on_no_answer(node).await,
                 () = leaving.cancelled(), if !self.members.is_leaving() => self.on_leaving(),
                 _ = tick.tick() => self.on_tick(&fetched_tx).await,
-                () = tokio::time::sleep_until(discovery_ends), if holds_back => self.release_held_back(),
+                () = tokio::time::sleep_until(discovery_ends), if has_deferred_configuration => self.retry_deferred_configuration(),
                 // Without it a change soon after another one waits for the next tick: a node that has just
                 // started knows all targets before its traffic does.
                 () = tokio::time::sleep_until(publish_at), if self.has_changes => false,
             };
             self.has_changes |= changed;
             if self.has_changes && Instant::now() >= self.published_at + MIN_PUBLISH_INTERVAL {
-                self.publish_and_tell().await;
+                self.publish_and_gossip().await;
             }
         }
     }
@@ -237,24 +238,25 @@
     async fn on_tick(&mut self, fetched_tx: &mpsc::Sender<Fetched>) -> bool {
         let now = Instant::now();
         let term = self.members.own.term;
-        let members_changed = self.members.check(now);
-        self.tell_claim(now, self.members.own.term != term).await;
+        let members_changed = self.members.on_tick(now);
+        self.announce_claim(now, self.members.own.term != term)
+            .await;
         self.send_vote(now).await;
-        self.tell_crashes().await;
+        self.gossip_crashes().await;
         self.gossip_signals().await;
-        self.clean_quarantine();
-        self.clean_signals(now);
-        let targets_changed = self.registry.check(now);
+        self.expire_quarantine();
+        self.expire_signals(now);
+        let targets_changed = self.registry.expire_removals(now);
         self.update_watch(now);
-        let destinations = self.members.destinations();
+        let destinations = self.members.heartbeat_destinations();
         if !destinations.is_empty() {
             self.send_heartbeats(now, &destinations).await;
         }
         self.fetch_if_behind(now, fetched_tx);
-        self.rewrite_lost_crashes(now);
-        self.note_settled(now);
-        let has_begun = self.release_held_back();
-        members_changed || targets_changed || has_begun
+        self.rewrite_missing_crashes(now);
+        self.update_settled(now);
+        let has_started_serving = self.retry_deferred_configuration();
+        members_changed || targets_changed || has_started_serving
     }
 
     /// Follows the store where this node is one of those that do.
@@ -272,7 +274,7 @@
                 "watch of the store switched"
             );
         }
-        let should_probe = should && self.places_streams();
+        let should_probe = should && self.is_owner();
         self.probe_enabled.send_if_modified(|on| {
             let changed = *on != should_probe;
             *on = should_probe;
--- a/crates/azuresaddle-edge/src/control/crash_writer.rs
+++ b/crates/azuresaddle-edge/src/control/crash_writer.rs
@@ -17,10 +17,10 @@
 const ENTRY_TTL: Duration = Duration::from_secs(600);
 
 /// Age up to which a lease is used for further entries, which end the earlier by it.
-const LEASE_REUSED: Duration = Duration::from_secs(60);
+const LEASE_REUSE_AGE: Duration = Duration::from_secs(60);
 
 /// Time for which crashes are gathered for one call.
-const GATHER: Duration = Duration::from_millis(50);
+const BATCH_DELAY: Duration = Duration::from_millis(50);
 
 /// Most entries that wait for a store that does not answer; more would outlive their use.
 const MAX_PENDING: usize = 512;
@@ -47,13 +47,13 @@
     };
     let mut backoff = FIRST_BACKOFF;
     while let Some(write) = rx.recv().await {
-        writer.take(&write);
-        tokio::time::sleep(GATHER).await;
+        writer.enqueue(&write);
+        tokio::time::sleep(BATCH_DELAY).await;
         while writer.has_work() {
             while let Ok(more) = rx.try_recv() {
-                writer.take(&more);
+                writer.enqueue(&more);
             }
-            match writer.write_some().await {
+            match writer.write_batch().await {
                 Ok(()) => backoff = FIRST_BACKOFF,
                 Err(StoreError::WentBack) => {}
                 Err(e) => {
@@ -77,7 +77,7 @@
 }
 
 impl<N: Network> Writer<N> {
-    fn take(&mut self, write: &CrashWrite) {
+    fn enqueue(&mut self, write: &CrashWrite) {
         match write {
             CrashWrite::Keep(crashes) => self.keep(crashes),
             CrashWrite::Remove(keys) => self.remove(keys),
@@ -109,7 +109,7 @@
     }
 
     /// Writes and removes as many entries as one call takes.
-    async fn write_some(&mut self) -> Result<(), StoreError> {
+    async fn write_batch(&mut self) -> Result<(), StoreError> {
         let lease = self.lease().await?;
         let keys: Vec<String> = self.pending.iter().take(MAX_WRITES).cloned().collect();
         let room = MAX_WRITES - keys.len();
@@ -131,7 +131,7 @@
     async fn lease(&mut self) -> Result<Lease, StoreError> {
         let now = Instant::now();
         if let Some((lease, taken_at)) = self.lease
-            && now - taken_at < LEASE_REUSED
+            && now - taken_at < LEASE_REUSE_AGE
             // An older copy of the store gives its number to another writer.
             && Some(lease.era) == self.store.era()
         {
--- a/crates/azuresaddle-edge/src/control/crashes.rs
+++ b/crates/azuresaddle-edge/src/control/crashes.rs
@@ -10,24 +10,24 @@
 
 use super::actor::Control;
 use super::crash_writer::CrashWrite;
+use super::gossip_queue::GossipQueue;
 use super::heartbeat::Datagram;
-use super::update_spread::UpdateSpread;
 use crate::quarantine::CrashUpdate;
 
 /// Most updates in a datagram, each of at most 31 bytes.
 pub(super) const MAX_UPDATES: usize = 40;
 
 /// Updates on requests that crash their targets, for other nodes.
-pub(super) type CrashSpread = UpdateSpread<CrashUpdate, MAX_UPDATES>;
+pub(super) type CrashGossip = GossipQueue<CrashUpdate, MAX_UPDATES>;
 
 /// Most datagrams that tell a node what is in quarantine.
-const MAX_GREETINGS: usize = 4;
+const MAX_QUARANTINE_DATAGRAMS: usize = 4;
 
 /// Time that the node which places has to write again what the store has lost, before others do.
-const OTHERS_REWRITE_AFTER: Duration = Duration::from_millis(200);
+const NON_OWNER_REWRITE_DELAY: Duration = Duration::from_millis(200);
 
 /// Time after which what was written again is looked for.
-const REWRITE_CHECKED_AFTER: Duration = Duration::from_millis(1000);
+const REWRITE_CHECK_DELAY: Duration = Duration::from_millis(1000);
 
 /// Ticks between two looks for records that have ended.
 const TICKS_PER_CLEANUP: u32 = 100;
@@ -35,55 +35,55 @@
 impl<N: Network> Control<N> {
     /// Takes what this node has seen itself: all are told, and the store keeps what is in quarantine.
     pub(super) async fn on_crash_seen(&mut self, update: CrashUpdate) {
-        self.crash_spread.push(update);
+        self.crash_gossip.push(update);
         match update {
             CrashUpdate::Crash(crash) => {
-                if self.tell_again_if_quarantined(crash.fingerprint) {
+                if self.gossip_if_quarantined(crash.fingerprint) {
                     let known = self.quarantine.crashes_of(crash.fingerprint);
                     self.write_crashes(CrashWrite::Keep(known));
                 }
             }
-            CrashUpdate::GoodEnd(end) => self.forget_if_clear(end.fingerprint),
-            CrashUpdate::Pardon(request) => self.forget_if_clear(request),
+            CrashUpdate::GoodEnd(end) => self.remove_stored_if_cleared(end.fingerprint),
+            CrashUpdate::Pardon(request) => self.remove_stored_if_cleared(request),
         }
-        self.tell_crashes().await;
+        self.gossip_crashes().await;
     }
 
     /// Takes updates from another node, and passes on what is new.
-    pub(super) async fn on_crashes_told(&mut self, from: Ipv4Addr, all: &[CrashUpdate]) {
+    pub(super) async fn on_crash_gossip(&mut self, from: Ipv4Addr, all: &[CrashUpdate]) {
         let mut has_update = false;
         for update in all {
             let is_new = match update {
-                CrashUpdate::Crash(crash) => self.on_crash_told(from, *crash).await,
-                CrashUpdate::GoodEnd(end) => self.on_good_end_told(*end),
+                CrashUpdate::Crash(crash) => self.on_gossiped_crash(from, *crash).await,
+                CrashUpdate::GoodEnd(end) => self.on_gossiped_good_end(*end),
                 CrashUpdate::Pardon(request) => {
                     let is_new = self.quarantine.pardon(*request);
-                    self.forget_if_clear(*request);
+                    self.remove_stored_if_cleared(*request);
                     is_new
                 }
             };
             if is_new && !self.members.is_mesh() {
-                self.crash_spread.push(*update);
+                self.crash_gossip.push(*update);
             }
             has_update |= is_new;
         }
         // The later rounds come with the ticks: a link that loses one datagram may lose the next ones too.
         if has_update {
-            self.tell_crashes().await;
+            self.gossip_crashes().await;
         }
     }
 
-    fn on_good_end_told(&mut self, end: SuccessfulRun) -> bool {
+    fn on_gossiped_good_end(&mut self, end: SuccessfulRun) -> bool {
         let is_new = self.quarantine.learn_good_end(end);
         if is_new {
-            self.forget_if_clear(end.fingerprint);
+            self.remove_stored_if_cleared(end.fingerprint);
         }
         is_new
     }
 
     /// Takes a crash from another node, which is told what it may not know: that the request is in quarantine here, or
     /// which of its runs came to a good end.
-    async fn on_crash_told(&mut self, from: Ipv4Addr, crash: Crash) -> bool {
+    async fn on_gossiped_crash(&mut self, from: Ipv4Addr, crash: Crash) -> bool {
         let request = crash.fingerprint;
         let was_quarantined = self.quarantine.standing(request).is_quarantined();
         if self.quarantine.learn_crash(crash) == CrashStatus::Known {
@@ -95,7 +95,7 @@
         if was_quarantined {
             let known = self.quarantine.crashes_of(request);
             self.send_crashes(from, &known).await;
-        } else if self.tell_again_if_quarantined(request) && self.places_streams() {
+        } else if self.gossip_if_quarantined(request) && self.is_owner() {
             // Others may have seen one crash each, and written none.
             let known = self.quarantine.crashes_of(request);
             self.write_crashes(CrashWrite::Keep(known));
@@ -104,22 +104,22 @@
     }
 
     /// Tells all crashes of a request that is in quarantine: a node that has seen it end well objects.
-    fn tell_again_if_quarantined(&mut self, request: Fingerprint) -> bool {
+    fn gossip_if_quarantined(&mut self, request: Fingerprint) -> bool {
         let is_quarantined = self.quarantine.standing(request).is_quarantined();
         if is_quarantined {
             for crash in self.quarantine.crashes_of(request) {
-                self.crash_spread.push(CrashUpdate::Crash(crash));
+                self.crash_gossip.push(CrashUpdate::Crash(crash));
             }
         }
         is_quarantined
     }
 
     /// Lets the store forget a request that is no longer in quarantine; one node does.
-    fn forget_if_clear(&mut self, request: Fingerprint) {
-        if !self.places_streams() || self.quarantine.standing(request).is_quarantined() {
+    fn remove_stored_if_cleared(&mut self, request: Fingerprint) {
+        if !self.is_owner() || self.quarantine.standing(request).is_quarantined() {
             return;
         }
-        let stored = self.stored_crashes.of(request);
+        let stored = self.stored_crashes.of_request(request);
         if !stored.is_empty() {
             self.write_crashes(CrashWrite::Remove(stored));
         }
@@ -134,7 +134,7 @@
         };
         if item.value.is_none() {
             self.stored_crashes.remove(key);
-            self.check_stored_crashes_soon(now);
+            self.schedule_stored_crash_check(now);
             return;
         }
         self.stored_crashes.insert(key);
@@ -147,14 +147,14 @@
         };
         if self.quarantine.learn_crash(crash) == CrashStatus::New && !self.members.is_mesh() {
             // Most nodes of a larger fleet don't follow the store.
-            self.crash_spread.push(CrashUpdate::Crash(crash));
+            self.crash_gossip.push(CrashUpdate::Crash(crash));
         }
     }
 
     /// Tells a node that has just come what is in quarantine.
-    pub(super) async fn greet(&self, ip: Ipv4Addr) {
+    pub(super) async fn send_quarantine(&self, ip: Ipv4Addr) {
         let known = self.quarantine.quarantined();
-        let most = known.len().min(MAX_GREETINGS * MAX_UPDATES);
+        let most = known.len().min(MAX_QUARANTINE_DATAGRAMS * MAX_UPDATES);
         self.send_crashes(ip, &known[..most]).await;
     }
 
@@ -162,24 +162,24 @@
     pub(super) fn on_crash_listing(&mut self, now: Instant, items: &[Item]) {
         let keys = items.iter().filter_map(|i| CrashKey::decode(&i.key));
         self.stored_crashes.replace(keys);
-        self.check_stored_crashes_soon(now);
+        self.schedule_stored_crash_check(now);
     }
 
     /// Looks soon whether the store has lost what is in quarantine; the node that places looks first, so that one
     /// node writes.
-    fn check_stored_crashes_soon(&mut self, now: Instant) {
-        let delay = if self.places_streams() {
+    fn schedule_stored_crash_check(&mut self, now: Instant) {
+        let delay = if self.is_owner() {
             Duration::ZERO
         } else {
-            OTHERS_REWRITE_AFTER
+            NON_OWNER_REWRITE_DELAY
         };
-        self.stored_crashes.check_at(now + delay);
+        self.stored_crashes.schedule_check(now + delay);
     }
 
     /// Writes again what is in quarantine and the store has lost: with its leases in an outage, or by going back to an
     /// older copy.
-    pub(super) fn rewrite_lost_crashes(&mut self, now: Instant) {
-        if !self.stored_crashes.is_due(now) {
+    pub(super) fn rewrite_missing_crashes(&mut self, now: Instant) {
+        if !self.stored_crashes.take_due_check(now) {
             return;
         }
         let missing = self.stored_crashes.missing(self.quarantine.quarantined());
@@ -192,18 +192,19 @@
             "crashes written again"
         );
         self.write_crashes(CrashWrite::Keep(missing));
-        self.stored_crashes.check_at(now + REWRITE_CHECKED_AFTER);
+        self.stored_crashes
+            .schedule_check(now + REWRITE_CHECK_DELAY);
     }
 
     /// Whether this node places streams.
-    pub(super) fn places_streams(&self) -> bool {
-        let (_, owner) = self.members.live(Instant::now());
+    pub(super) fn is_owner(&self) -> bool {
+        let (_, owner) = self.members.live_nodes(Instant::now());
         owner == self.members.incarnation()
     }
 
     /// Tells the next round of updates.
-    pub(super) async fn tell_crashes(&mut self) {
-        let updates = self.crash_spread.next_round();
+    pub(super) async fn gossip_crashes(&mut self) {
+        let updates = self.crash_gossip.next_round();
         if updates.is_empty() {
             return;
         }
@@ -211,7 +212,7 @@
         let to = if self.members.is_mesh() {
             self.members.alive_hosts(Instant::now())
         } else {
-            self.members.partners()
+            self.members.gossip_peers()
         };
         for ip in to {
             self.send_to(ip, &bytes).await;
@@ -219,7 +220,7 @@
     }
 
     /// Forgets what has ended, now and then.
-    pub(super) fn clean_quarantine(&self) {
+    pub(super) fn expire_quarantine(&self) {
         if self.members.ticks.is_multiple_of(TICKS_PER_CLEANUP) {
             self.quarantine.forget_old();
         }
--- a/crates/azuresaddle-edge/src/control/datagrams.rs
+++ b/crates/azuresaddle-edge/src/control/datagrams.rs
@@ -23,30 +23,31 @@
                 if is_new {
                     // A node that has just started learns of the others within a round trip.
                     self.send_heartbeats(now, &[ip]).await;
-                    self.greet(ip).await;
+                    self.send_quarantine(ip).await;
                     self.send_known_signals(ip).await;
                 }
-                let unknown = self.members.unknown(&beat);
+                let unknown = self.members.hosts_to_request(&beat);
                 if !unknown.is_empty() {
-                    self.send_to(ip, &Datagram::Question(unknown).encode())
+                    self.send_to(ip, &Datagram::StateRequest(unknown).encode())
                         .await;
                 }
                 changed
             }
-            Some(Datagram::Question(hosts)) => {
+            Some(Datagram::StateRequest(hosts)) => {
                 let states = self.members.states_of(now, &hosts);
-                self.send_to(ip, &Datagram::Answer(states).encode()).await;
+                self.send_to(ip, &Datagram::StateResponse(states).encode())
+                    .await;
                 false
             }
             Some(Datagram::Crashes(updates)) => {
-                self.on_crashes_told(ip, &updates).await;
+                self.on_crash_gossip(ip, &updates).await;
                 false
             }
             Some(Datagram::Signals(updates)) => self.on_signal_gossip(&updates).await,
-            Some(Datagram::Answer(states)) => self.members.on_answer(now, &states),
+            Some(Datagram::StateResponse(states)) => self.members.on_states(now, &states),
             Some(Datagram::Vote(vote)) => {
                 let claimed = self.members.on_vote(now, vote);
-                self.tell_claim(now, claimed).await;
+                self.announce_claim(now, claimed).await;
                 claimed
             }
             None => {
--- a/crates/azuresaddle-edge/src/control/succession.rs
+++ b/crates/azuresaddle-edge/src/control/failover.rs
@@ -20,30 +20,30 @@
 const MAX_VOTES: usize = 3;
 
 /// Age up to which a vote counts: nodes find the silence with their own calls, within two reports.
-const VOTE_KEPT: Duration = Duration::from_millis(1000);
+const VOTE_TTL: Duration = Duration::from_millis(1000);
 
 /// Time after its last call without an answer for which a node suspects the owner.
-const SUSPICION_KEPT: Duration = Duration::from_millis(1000);
+const SUSPICION_TTL: Duration = Duration::from_millis(1000);
 
 /// Time that a successor gets to take over before the next one is asked: many round trips.
-const SUCCESSOR_PATIENCE: Duration = Duration::from_millis(400);
+const SUCCESSOR_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Time for which a successor that did not take over is passed over.
-const PASSED_OVER: Duration = Duration::from_secs(2);
+const SKIP_DURATION: Duration = Duration::from_secs(2);
 
 /// Time after its start for which a node without a claim to go by asks nobody: until then the strongest
 /// hosts have the configuration where hundreds start together; a part of what callers wait.
-const CLAIM_PATIENCE: Duration = Duration::from_millis(1000);
+const CLAIM_WAIT: Duration = Duration::from_millis(1000);
 
 /// What is known of an owner that may have gone silent.
 #[derive(Debug, Default)]
-pub(super) struct Succession {
+pub(super) struct Failover {
     /// The own suspicion.
     suspicion: Option<Suspicion>,
     /// Successors that did not take over, and until when they are passed over.
-    passed_over: HashMap<u64, Instant>,
+    skipped: HashMap<u64, Instant>,
     /// Owner that the votes are about.
-    votes_on: u64,
+    voted_owner: u64,
     /// When each node voted last.
     votes: HashMap<u64, Instant>,
 }
@@ -65,19 +65,19 @@
         if !is_owner || incarnation == self.own.incarnation {
             return false;
         }
-        let known = self.succession.suspicion;
+        let known = self.failover.suspicion;
         let since = known.filter(|s| s.owner == incarnation).map(|s| s.since);
-        self.succession.suspicion = Some(Suspicion {
+        self.failover.suspicion = Some(Suspicion {
             owner: incarnation,
             since: since.unwrap_or(now),
             renewed_at: now,
         });
-        self.follow_suspicion(now)
+        self.check_suspicion(now)
     }
 
     /// Where to tell of the silent owner, and what; `None` where this node suspects nobody.
     pub(super) fn vote(&self, now: Instant) -> Option<(Ipv4Addr, Vote)> {
-        let suspicion = self.succession.suspicion?;
+        let suspicion = self.failover.suspicion?;
         let successor = self.successor(now, suspicion.owner)?;
         let vote = Vote {
             voter: self.own.incarnation,
@@ -93,15 +93,15 @@
             return false;
         }
         let needed = self.votes_needed(now);
-        let succession = &mut self.succession;
-        if succession.votes_on != owner {
-            succession.votes_on = owner;
-            succession.votes.clear();
+        let failover = &mut self.failover;
+        if failover.voted_owner != owner {
+            failover.voted_owner = owner;
+            failover.votes.clear();
         }
-        succession.votes.insert(vote.voter, now);
-        let is_fresh = |at: &Instant| now.saturating_duration_since(*at) < VOTE_KEPT;
-        succession.votes.retain(|_, at| is_fresh(at));
-        if succession.votes.len() < needed {
+        failover.votes.insert(vote.voter, now);
+        let is_fresh = |at: &Instant| now.saturating_duration_since(*at) < VOTE_TTL;
+        failover.votes.retain(|_, at| is_fresh(at));
+        if failover.votes.len() < needed {
             return false;
         }
         self.claim(now);
@@ -109,14 +109,14 @@
     }
 
     /// Follows the own suspicion as time passes; true where this node takes over.
-    pub(super) fn follow_suspicion(&mut self, now: Instant) -> bool {
-        self.succession.passed_over.retain(|_, until| now < *until);
-        let Some(suspicion) = self.succession.suspicion else {
+    pub(super) fn check_suspicion(&mut self, now: Instant) -> bool {
+        self.failover.skipped.retain(|_, until| now < *until);
+        let Some(suspicion) = self.failover.suspicion else {
             return false;
         };
         let is_owner = self.ranked(now)[0].incarnation == suspicion.owner;
-        if !is_owner || now.saturating_duration_since(suspicion.renewed_at) >= SUSPICION_KEPT {
-            self.succession.suspicion = None;
+        if !is_owner || now.saturating_duration_since(suspicion.renewed_at) >= SUSPICION_TTL {
+            self.failover.suspicion = None;
             return false;
         }
         let successor = self.successor(now, suspicion.owner).map(|n| n.incarnation);
@@ -125,11 +125,11 @@
             let owner = suspicion.owner;
             return self.on_vote(now, Vote { voter, owner });
         }
-        if now.saturating_duration_since(suspicion.since) >= SUCCESSOR_PATIENCE {
-            let until = now + PASSED_OVER;
-            let succession = &mut self.succession;
-            succession.passed_over.extend(successor.map(|s| (s, until)));
-            succession.suspicion = Some(Suspicion {
+        if now.saturating_duration_since(suspicion.since) >= SUCCESSOR_TIMEOUT {
+            let until = now + SKIP_DURATION;
+            let failover = &mut self.failover;
+            failover.skipped.extend(successor.map(|s| (s, until)));
+            failover.suspicion = Some(Suspicion {
                 since: now,
                 ..suspicion
             });
@@ -143,12 +143,12 @@
     /// In a fleet that starts as a whole that node changes with each one that is heard of, and none has
     /// knowledge of the streams that the others placed.
     pub(super) fn awaits_claim(&self, now: Instant, first: &MemberState) -> bool {
-        first.term == 0 && now < self.claim_patience_ends()
+        first.term == 0 && now < self.claim_wait_ends()
     }
 
     /// When this node stops to wait for a claim.
-    pub(super) fn claim_patience_ends(&self) -> Instant {
-        self.started_at + CLAIM_PATIENCE
+    pub(super) fn claim_wait_ends(&self) -> Instant {
+        self.started_at + CLAIM_WAIT
     }
 
     /// Claims where nobody has and this node comes first; true where it does.
@@ -156,7 +156,7 @@
     /// Without a claim the owner of a fleet that starts as a whole was whoever was the best of those that
     /// had a configuration by then, one after the other. A weak host claims nothing while a stronger one lives, since a
     /// claim lasts.
-    pub(super) fn claim_first(&mut self, now: Instant) -> bool {
+    pub(super) fn claim_if_first(&mut self, now: Instant) -> bool {
         let is_first = self.ranked(now)[0].incarnation == self.own.incarnation;
         if !is_first || self.own.term > 0 || !self.own.takes_callers() {
             return false;
@@ -174,22 +174,22 @@
     fn claim(&mut self, now: Instant) {
         let highest = self.members.values().map(|m| m.state.term).max();
         self.own.term = highest.unwrap_or(0).max(self.own.term) + 1;
-        let votes = self.succession.votes.len();
+        let votes = self.failover.votes.len();
         tracing::info!(
             part = "control",
             term = self.own.term,
             votes,
             "owner claims"
         );
-        self.succession = Succession::default();
+        self.failover = Failover::default();
         debug_assert_eq!(self.ranked(now)[0].incarnation, self.own.incarnation);
     }
 
     /// The node that would place if the owner were gone.
     fn successor(&self, now: Instant, owner: u64) -> Option<&MemberState> {
-        let passed_over = &self.succession.passed_over;
+        let skipped = &self.failover.skipped;
         let mut others = self.ranked(now).into_iter();
-        others.find(|n| n.incarnation != owner && !passed_over.contains_key(&n.incarnation))
+        others.find(|n| n.incarnation != owner && !skipped.contains_key(&n.incarnation))
     }
 
     /// Votes that it takes: most of a small fleet without its owner.
--- a/crates/azuresaddle-edge/src/control/claims.rs
+++ b/crates/azuresaddle-edge/src/control/failover_messages.rs
@@ -11,7 +11,7 @@
     pub(super) async fn on_no_answer(&mut self, node: u64) -> bool {
         let now = Instant::now();
         let claimed = self.members.on_no_answer(now, node);
-        self.tell_claim(now, claimed).await;
+        self.announce_claim(now, claimed).await;
         if !claimed {
             self.send_vote(now).await;
         }
@@ -27,7 +27,7 @@
 
     /// Tells all nodes at once that this one places streams now: by the usual way some would ask the
     /// earlier owner for a second.
-    pub(super) async fn tell_claim(&mut self, now: Instant, claimed: bool) {
+    pub(super) async fn announce_claim(&mut self, now: Instant, claimed: bool) {
         if !claimed {
             return;
         }
--- a/crates/azuresaddle-edge/src/control/fetch.rs
+++ b/crates/azuresaddle-edge/src/control/fetch.rs
@@ -16,22 +16,22 @@
 const PEER_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// Time that a node gives its own watch to bring what another node already knows.
-const WATCH_PATIENCE: Duration = Duration::from_millis(150);
+const WATCH_HEAD_START: Duration = Duration::from_millis(150);
 
 /// Time for which a node that has heard of the same changes must differ before all targets are fetched: single changes
 /// don't bring both to the same targets then. A node that is merely behind never fetches all: while thousands of targets
 /// registered, each node of a large fleet did so all the time, and the links had no room for heartbeats.
-const FULL_PATIENCE: Duration = Duration::from_millis(1000);
+const FULL_FETCH_DELAY: Duration = Duration::from_millis(1000);
 
 /// Time after its start for which a node waits for its own reading of the store.
-const LISTING_PATIENCE: Duration = Duration::from_secs(1);
+const LISTING_WAIT: Duration = Duration::from_secs(1);
 
 /// Shortest time between two fetches of all targets.
-const FULL_INTERVAL: Duration = Duration::from_millis(1000);
+const MIN_FULL_FETCH_INTERVAL: Duration = Duration::from_millis(1000);
 
 /// How much is fetched from another node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Scope {
+pub(super) enum FetchScope {
     /// What changed after a position.
     Changes(StorePosition),
     /// Everything.
@@ -41,7 +41,7 @@
 /// An answer to a fetch; `None` where there was none.
 #[derive(Debug)]
 pub(super) struct Fetched {
-    scope: Scope,
+    scope: FetchScope,
     update: Option<PeerUpdate>,
 }
 
@@ -55,13 +55,13 @@
             return;
         }
         self.is_fetching = true;
-        self.metrics.on_fetch(scope == Scope::All);
+        self.metrics.on_fetch(scope == FetchScope::All);
         let after = match scope {
-            Scope::All => {
+            FetchScope::All => {
                 self.full_fetch_at = Some(now);
                 None
             }
-            Scope::Changes(after) => Some(after),
+            FetchScope::Changes(after) => Some(after),
         };
         let configuration = self.version();
         let peers = self.peers.clone();
@@ -83,11 +83,11 @@
 
     /// Which node to ask, and for how much; `None` where nobody knows more, or the own watch may still tell it.
     /// Everything is asked of a node that differs although it has heard of the same changes, and by one that starts.
-    fn next_fetch(&mut self, now: Instant) -> Option<(SocketAddr, Scope)> {
+    fn next_fetch(&mut self, now: Instant) -> Option<(SocketAddr, FetchScope)> {
         if self.needs_sync() {
-            let settled = self.members.better_informed(now, |n| n.is_settled);
+            let settled = self.members.choose_peer(now, |n| n.is_settled);
             if let Some(addr) = settled {
-                return Some((addr, Scope::All));
+                return Some((addr, FetchScope::All));
             }
         }
         if self.is_listing(now) {
@@ -96,28 +96,28 @@
         let configuration = self.version();
         let targets = self.registry.position();
         let is_later = |n: &MemberState| n.configuration > configuration || n.targets > targets;
-        if let Some(addr) = self.members.better_informed(now, is_later) {
+        if let Some(addr) = self.members.choose_peer(now, is_later) {
             self.differs_since = None;
             let since = *self.behind_since.get_or_insert(now);
             let patience = if self.members.should_watch(now) {
-                WATCH_PATIENCE
+                WATCH_HEAD_START
             } else {
                 Duration::ZERO
             };
             let is_due = now.saturating_duration_since(since) >= patience;
-            return is_due.then_some((addr, Scope::Changes(targets)));
+            return is_due.then_some((addr, FetchScope::Changes(targets)));
         }
         self.behind_since = None;
         let hash = self.registry.published().hash;
         let differs = |n: &MemberState| n.targets == targets && n.targets_hash != hash;
-        let Some(addr) = self.members.better_informed(now, differs) else {
+        let Some(addr) = self.members.choose_peer(now, differs) else {
             self.differs_since = None;
             return None;
         };
         let since = *self.differs_since.get_or_insert(now);
         let differs_for = now.saturating_duration_since(since);
-        let is_due = differs_for >= FULL_PATIENCE && self.may_fetch_all(now);
-        is_due.then_some((addr, Scope::All))
+        let is_due = differs_for >= FULL_FETCH_DELAY && self.may_fetch_all(now);
+        is_due.then_some((addr, FetchScope::All))
     }
 
     /// Whether this node reads all targets from the store just now, so that it need not have them from others too.
@@ -125,12 +125,12 @@
     /// Hundreds that start together had each target twice, over links that some share with callers.
     fn is_listing(&self, now: Instant) -> bool {
         let age = now.saturating_duration_since(self.members.started_at);
-        !self.is_listed && !self.is_store_lost && age < LISTING_PATIENCE
+        !self.is_listed && !self.is_store_lost && age < LISTING_WAIT
     }
 
     fn may_fetch_all(&self, now: Instant) -> bool {
         let last = self.full_fetch_at;
-        last.is_none_or(|at| now.saturating_duration_since(at) >= FULL_INTERVAL)
+        last.is_none_or(|at| now.saturating_duration_since(at) >= MIN_FULL_FETCH_INTERVAL)
     }
 
     pub(super) fn on_fetched(&mut self, fetched: Fetched) -> bool {
@@ -145,19 +145,19 @@
             changed |= self.registry.apply_update(now, target);
         }
         self.registry.on_synced(update.position);
-        if fetched.scope == Scope::All {
+        if fetched.scope == FetchScope::All {
             self.start_gate.is_synced = true;
         }
         if let Some(json) = update.configuration {
             changed |= self.on_configuration(json, "a node");
         }
-        self.note_era();
+        self.detect_rollback();
         changed |= self.registry.position().era != era;
-        changed | self.release_held_back()
+        changed | self.retry_deferred_configuration()
     }
 
     /// Tells operators where the store has gone back to an older copy.
-    pub(super) fn note_era(&mut self) {
+    pub(super) fn detect_rollback(&mut self) {
         let era = self.registry.era();
         if era == StoreEra::default() {
             return;
--- a/crates/azuresaddle-edge/src/control/spread.rs
+++ b/crates/azuresaddle-edge/src/control/gossip.rs
@@ -9,31 +9,31 @@
 use tokio::time::Instant;
 
 use super::heartbeat::{
-    Heartbeat, HeartbeatDigest, MAX_ASKED, MAX_DIGESTS, MAX_OTHERS, MemberState,
+    Heartbeat, HeartbeatDigest, MAX_DIGESTS, MAX_FULL_STATES, MAX_REQUESTED_STATES, MemberState,
 };
 use super::members::{Member, Members};
 
 /// Partners of a heartbeat in a larger fleet: with digests of 70 nodes each, what one node says is
 /// known to 90 after about three rounds.
-const PARTNERS: usize = 4;
+const FANOUT: usize = 4;
 
 /// Partners among them that are of another failure domain: a domain of dozens of nodes still hears of the others dozens
 /// of times a round, and bytes between domains are dear.
-const FAR_PARTNERS: usize = 1;
+const CROSS_DOMAIN_FANOUT: usize = 1;
 
 /// Ticks between two rounds of heartbeats in a larger fleet.
 const TICKS_PER_ROUND: u32 = 2;
 
 /// Nodes by chance among those whose whole state is told, so that a change that was missed is made
 /// up although later ones crowd it out.
-const OTHERS_BY_CHANCE: usize = MAX_OTHERS / 2;
+const RANDOM_STATES: usize = MAX_FULL_STATES / 2;
 
 impl Members {
     /// The own heartbeat, with the state of other live nodes.
     pub(super) fn heartbeat(&mut self, now: Instant) -> Heartbeat {
         self.own.counter = self.own.counter.wrapping_add(1);
-        let silence = self.silence();
-        let fresh = |m: &&Member| now.saturating_duration_since(m.heard_at) < silence;
+        let failure_timeout = self.failure_timeout();
+        let fresh = |m: &&Member| now.saturating_duration_since(m.heard_at) < failure_timeout;
         let mut alive: Vec<&Member> = self.members.values().filter(fresh).collect();
         alive.sort_by_key(|m| m.state.ip);
         // Many are heard of in the same moment; by chance among them none are always crowded out.
@@ -41,12 +41,12 @@
         alive.sort_by_key(|m| std::cmp::Reverse(m.heard_at));
         let digests = alive.iter().take(MAX_DIGESTS);
         let digests = digests
-            .map(|m| HeartbeatDigest::new(&m.state, m.heard))
+            .map(|m| HeartbeatDigest::new(&m.state, m.last_counter))
             .collect();
-        let by_chance = alive.choose_multiple(&mut self.rng, OTHERS_BY_CHANCE);
-        let mut others: Vec<MemberState> = by_chance.map(|m| m.state.clone()).collect();
+        let random = alive.choose_multiple(&mut self.rng, RANDOM_STATES);
+        let mut others: Vec<MemberState> = random.map(|m| m.state.clone()).collect();
         alive.sort_by_key(|m| std::cmp::Reverse(m.changed_at));
-        let changed = alive.iter().take(MAX_OTHERS - others.len());
+        let changed = alive.iter().take(MAX_FULL_STATES - others.len());
         others.extend(changed.map(|m| m.state.clone()));
         Heartbeat {
             from: self.own.clone(),
@@ -76,40 +76,43 @@
         if beat.from.ip != from {
             return false;
         }
-        let mut changed = self.take_state(now, &beat.from, true);
+        let mut changed = self.merge_state(now, &beat.from, true);
         for state in &beat.others {
-            changed |= self.take_state(now, state, false);
+            changed |= self.merge_state(now, state, false);
         }
         for digest in &beat.digests {
-            changed |= self.take_digest(now, digest);
+            changed |= self.merge_digest(now, digest);
         }
         changed
     }
 
     /// Takes the whole state of nodes from another one.
-    pub(super) fn on_answer(&mut self, now: Instant, all: &[MemberState]) -> bool {
+    pub(super) fn on_states(&mut self, now: Instant, all: &[MemberState]) -> bool {
         all.iter().fold(false, |changed, state| {
-            self.take_state(now, state, false) | changed
+            self.merge_state(now, state, false) | changed
         })
     }
 
     /// Hosts in a heartbeat of which the sender knows more than heartbeat digests.
-    pub(super) fn unknown(&self, beat: &Heartbeat) -> Vec<Ipv4Addr> {
+    pub(super) fn hosts_to_request(&self, beat: &Heartbeat) -> Vec<Ipv4Addr> {
         let is_unknown = |s: &&HeartbeatDigest| {
             s.ip != self.own.ip && self.members.get(&s.ip).is_none_or(|m| differs(m, s))
         };
         let unknown = beat.digests.iter().filter(is_unknown).map(|s| s.ip);
-        unknown.take(MAX_ASKED).collect()
+        unknown.take(MAX_REQUESTED_STATES).collect()
     }
 
     /// The whole state of hosts, as far as they are alive.
     pub(super) fn states_of(&self, now: Instant, hosts: &[Ipv4Addr]) -> Vec<MemberState> {
         let known = hosts.iter().filter_map(|ip| self.members.get(ip));
         let alive = known.filter(|m| self.is_alive(m, now));
-        alive.take(MAX_ASKED).map(|m| m.state.clone()).collect()
+        alive
+            .take(MAX_REQUESTED_STATES)
+            .map(|m| m.state.clone())
+            .collect()
     }
 
-    fn take_state(&mut self, now: Instant, state: &MemberState, is_direct: bool) -> bool {
+    fn merge_state(&mut self, now: Instant, state: &MemberState, is_direct: bool) -> bool {
         if state.ip == self.own.ip {
             return false;
         }
@@ -119,16 +122,16 @@
         }
         let same_process = known.filter(|m| m.state.incarnation == state.incarnation);
         // A later heartbeat digest may have come before this state.
-        let later_digest = same_process.filter(|m| m.heard >= state.counter);
-        let (heard, heard_at) =
-            later_digest.map_or((state.counter, now), |m| (m.heard, m.heard_at));
+        let later_digest = same_process.filter(|m| m.last_counter >= state.counter);
+        let (last_counter, heard_at) =
+            later_digest.map_or((state.counter, now), |m| (m.last_counter, m.heard_at));
         let same_offer = same_process.filter(|m| {
             m.state.takes_callers() == state.takes_callers() && m.state.term == state.term
         });
         let changed = !same_offer.is_some_and(|m| self.is_alive(m, now));
         let same_state = same_offer.filter(|m| m.state.is_watching == state.is_watching);
         let member = Member {
-            heard,
+            last_counter,
             heard_at,
             changed_at: same_state.map_or(now, |m| m.changed_at),
             state: state.clone(),
@@ -141,23 +144,23 @@
     ///
     /// One that tells of another state counts only with the whole state: passed on with the old state
     /// it would make every node that knows better ask again and again.
-    fn take_digest(&mut self, now: Instant, digest: &HeartbeatDigest) -> bool {
+    fn merge_digest(&mut self, now: Instant, digest: &HeartbeatDigest) -> bool {
         let Some(member) = self.members.get(&digest.ip) else {
             return false;
         };
-        if differs(member, digest) || digest.counter <= member.heard {
+        if differs(member, digest) || digest.counter <= member.last_counter {
             return false;
         }
         let was_gone = !self.is_alive(member, now);
         if let Some(member) = self.members.get_mut(&digest.ip) {
-            member.heard = digest.counter;
+            member.last_counter = digest.counter;
             member.heard_at = now;
         }
         was_gone
     }
 
     /// Hosts to send a heartbeat to now.
-    pub(super) fn destinations(&mut self) -> Vec<Ipv4Addr> {
+    pub(super) fn heartbeat_destinations(&mut self) -> Vec<Ipv4Addr> {
         if self.is_mesh() {
             let mut all: Vec<Ipv4Addr> = self.members.keys().copied().collect();
             all.extend(&self.seeds);
@@ -168,11 +171,11 @@
         if !self.ticks.is_multiple_of(TICKS_PER_ROUND) {
             return Vec::new();
         }
-        self.partners()
+        self.gossip_peers()
     }
 
     /// A few hosts at random, for what should spread at once.
-    pub(super) fn partners(&mut self) -> Vec<Ipv4Addr> {
+    pub(super) fn gossip_peers(&mut self) -> Vec<Ipv4Addr> {
         let mut all: Vec<&MemberState> = self.members.values().map(|m| &m.state).collect();
         all.sort_unstable_by_key(|n| n.ip);
         all.shuffle(&mut self.rng);
@@ -181,10 +184,10 @@
             let (far, near): (Vec<&MemberState>, Vec<&MemberState>) =
                 all.into_iter().partition(|n| is_far(n));
             // Where one kind is too small the other makes it up.
-            let near_count = near.len().min(PARTNERS - FAR_PARTNERS.min(far.len()));
+            let near_count = near.len().min(FANOUT - CROSS_DOMAIN_FANOUT.min(far.len()));
             let near = near.into_iter().take(near_count);
             all = near
-                .chain(far.into_iter().take(PARTNERS - near_count))
+                .chain(far.into_iter().take(FANOUT - near_count))
                 .collect();
         }
         all.into_iter().map(|n| n.ip).collect()
@@ -198,7 +201,7 @@
 /// Whether a heartbeat digest tells of another process or state than the one that is known.
 fn differs(member: &Member, digest: &HeartbeatDigest) -> bool {
     let is_later = digest.counter > member.state.counter;
-    let same_state = digest.state.fits(&member.state);
+    let same_state = digest.state.matches(&member.state);
     !is_same_process(member, digest) || (is_later && !same_state)
 }
 
--- a/crates/azuresaddle-edge/src/control/update_spread.rs
+++ b/crates/azuresaddle-edge/src/control/gossip_queue.rs
@@ -7,7 +7,7 @@
 
 /// Rounds in which an update is told: with four partners each, three reach hundreds of nodes although some datagrams
 /// are lost.
-const ROUNDS: u32 = 3;
+const SEND_ROUNDS: u32 = 3;
 
 /// Most updates that wait; beyond, the oldest are dropped. A datagram a round to four partners is all that a node
 /// sends, whatever happens.
@@ -15,17 +15,17 @@
 
 /// Updates that wait to be told, at most `PER_ROUND` of them in one round.
 #[derive(Debug)]
-pub(super) struct UpdateSpread<T, const PER_ROUND: usize> {
-    waiting: VecDeque<Rumor<T>>,
+pub(super) struct GossipQueue<T, const PER_ROUND: usize> {
+    waiting: VecDeque<QueuedUpdate<T>>,
 }
 
 #[derive(Debug)]
-struct Rumor<T> {
+struct QueuedUpdate<T> {
     update: T,
     rounds_left: u32,
 }
 
-impl<T, const PER_ROUND: usize> Default for UpdateSpread<T, PER_ROUND> {
+impl<T, const PER_ROUND: usize> Default for GossipQueue<T, PER_ROUND> {
     fn default() -> Self {
         Self {
             waiting: VecDeque::new(),
@@ -33,15 +33,15 @@
     }
 }
 
-impl<T: Clone, const PER_ROUND: usize> UpdateSpread<T, PER_ROUND> {
+impl<T: Clone, const PER_ROUND: usize> GossipQueue<T, PER_ROUND> {
     /// Takes something to tell.
     pub(super) fn push(&mut self, update: T) {
         if self.waiting.len() >= MAX_WAITING {
             self.waiting.pop_front();
         }
-        self.waiting.push_back(Rumor {
+        self.waiting.push_back(QueuedUpdate {
             update,
-            rounds_left: ROUNDS,
+            rounds_left: SEND_ROUNDS,
         });
     }
 
--- a/crates/azuresaddle-edge/src/control/heartbeat.rs
+++ b/crates/azuresaddle-edge/src/control/heartbeat.rs
@@ -12,14 +12,14 @@
 pub(super) const MAX_BYTES: usize = 1400;
 
 /// Most nodes whose whole state is in a heartbeat; each takes at most 62 bytes.
-pub(super) const MAX_OTHERS: usize = 4;
+pub(super) const MAX_FULL_STATES: usize = 4;
 
 /// Most heartbeat digests in a heartbeat; each takes at most 13 bytes. With the whole state of a few
 /// nodes in their stead, nodes of a large fleet miss each other.
 pub(super) const MAX_DIGESTS: usize = 84;
 
 /// Most nodes whose whole state one datagram asks for or answers with.
-pub(super) const MAX_ASKED: usize = 28;
+pub(super) const MAX_REQUESTED_STATES: usize = 28;
 
 /// What a node says of itself, and others pass on.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -100,7 +100,7 @@
     }
 
     /// Whether the state of a node is this one.
-    pub(super) fn fits(self, state: &MemberState) -> bool {
+    pub(super) fn matches(self, state: &MemberState) -> bool {
         self == Self::new(state)
     }
 }
@@ -122,9 +122,9 @@
 pub(super) enum Datagram {
     Heartbeat(Heartbeat),
     /// Asks for the whole state of hosts of which only heartbeat digests are known.
-    Question(Vec<Ipv4Addr>),
+    StateRequest(Vec<Ipv4Addr>),
     /// The answer to that.
-    Answer(Vec<MemberState>),
+    StateResponse(Vec<MemberState>),
     /// Tells the node that would succeed that the owner does not answer.
     Vote(Vote),
     /// Tells of requests that crash their targets.
--- a/crates/azuresaddle-edge/src/control/members.rs
+++ b/crates/azuresaddle-edge/src/control/members.rs
@@ -13,8 +13,8 @@
 use rand::seq::IndexedRandom;
 use tokio::time::Instant;
 
+use super::failover::Failover;
 use super::heartbeat::MemberState;
-use super::succession::Succession;
 use crate::snapshot::{LiveNode, NO_OWNER};
 
 /// Time between two looks at the members.
@@ -25,21 +25,21 @@
 
 /// Silence after which a node of a small fleet counts as gone: four lost heartbeats, so that the
 /// loss of single datagrams moves nothing.
-const MESH_SILENCE: Duration = Duration::from_millis(450);
+const MESH_FAILURE_TIMEOUT: Duration = Duration::from_millis(450);
 
 /// Silence after which a node of a larger fleet counts as gone: many rounds, since a digest takes several hops and
 /// may be crowded out on the way.
-const GOSSIP_SILENCE: Duration = Duration::from_millis(2500);
+const GOSSIP_FAILURE_TIMEOUT: Duration = Duration::from_millis(2500);
 
 /// Nodes up to which that silence holds; beyond, each is heard of less often, and the silence grows
 /// with the fleet.
-const GOSSIP_SILENCE_NODES: usize = 250;
+const GOSSIP_TIMEOUT_NODES: usize = 250;
 
 /// Silence after which a node is forgotten.
-const FORGET: Duration = Duration::from_secs(20);
+const MEMBER_RETENTION: Duration = Duration::from_secs(20);
 
 /// Delay of the own clock above which silence says nothing, since this process did not run.
-const STALL: Duration = Duration::from_millis(250);
+const STALL_THRESHOLD: Duration = Duration::from_millis(250);
 
 /// Nodes of a larger fleet that follow the store for all.
 const WATCHERS: usize = 4;
@@ -55,7 +55,7 @@
 const MAX_WATCHERS: usize = 64;
 
 /// Time after which twice as many nodes try.
-const WATCHERS_DOUBLE: Duration = Duration::from_millis(500);
+const WATCHERS_DOUBLE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Time after its start for which a node does not watch the store that it has just read: by then it knows
 /// whether others do.
@@ -66,7 +66,7 @@
 pub(super) struct Member {
     pub(super) state: MemberState,
     /// Number of its latest heartbeat that was heard of, by its state or by a heartbeat digest.
-    pub(super) heard: u32,
+    pub(super) last_counter: u32,
     pub(super) heard_at: Instant,
     /// When it came, restarted, or began or ceased to take callers or to follow the store.
     pub(super) changed_at: Instant,
@@ -81,9 +81,9 @@
     pub(super) members: HashMap<Ipv4Addr, Member>,
     /// When this process began to listen.
     pub(super) started_at: Instant,
-    checked_at: Instant,
+    last_tick_at: Instant,
     pub(super) ticks: u32,
-    pub(super) succession: Succession,
+    pub(super) failover: Failover,
     /// Since when too few nodes are answered by the store.
     unwatched_since: Option<Instant>,
     /// Chooses partners; seeded by the incarnation, so that tests repeat.
@@ -99,9 +99,9 @@
             peer_port,
             members: HashMap::new(),
             started_at: now,
-            checked_at: now,
+            last_tick_at: now,
             ticks: 0,
-            succession: Succession::default(),
+            failover: Failover::default(),
             unwatched_since: None,
         }
     }
@@ -131,17 +131,17 @@
         self.members.len() < MAX_MESH
     }
 
-    pub(super) fn silence(&self) -> Duration {
+    pub(super) fn failure_timeout(&self) -> Duration {
         if self.is_mesh() {
-            MESH_SILENCE
+            MESH_FAILURE_TIMEOUT
         } else {
-            let times = self.members.len() as f64 / GOSSIP_SILENCE_NODES as f64;
-            GOSSIP_SILENCE.mul_f64(times.max(1.0))
+            let times = self.members.len() as f64 / GOSSIP_TIMEOUT_NODES as f64;
+            GOSSIP_FAILURE_TIMEOUT.mul_f64(times.max(1.0))
         }
     }
 
     pub(super) fn is_alive(&self, member: &Member, now: Instant) -> bool {
-        now.saturating_duration_since(member.heard_at) < self.silence()
+        now.saturating_duration_since(member.heard_at) < self.failure_timeout()
     }
 
     fn alive(&self, now: Instant) -> impl Iterator<Item = &Member> {
@@ -152,20 +152,20 @@
     ///
     /// After a stall of this process every node gets the time again, since their heartbeats may
     /// wait unread.
-    pub(super) fn check(&mut self, now: Instant) -> bool {
-        let late = now.saturating_duration_since(self.checked_at);
-        if late > TICK + STALL {
+    pub(super) fn on_tick(&mut self, now: Instant) -> bool {
+        let late = now.saturating_duration_since(self.last_tick_at);
+        if late > TICK + STALL_THRESHOLD {
             for member in self.members.values_mut() {
                 member.heard_at += late;
             }
         }
-        let before = self.checked_at;
-        self.checked_at = now;
+        let before = self.last_tick_at;
+        self.last_tick_at = now;
         self.ticks = self.ticks.wrapping_add(1);
         self.members
-            .retain(|_, m| now.saturating_duration_since(m.heard_at) < FORGET);
-        let claimed = self.follow_suspicion(now);
-        let patience_ends = self.claim_patience_ends();
+            .retain(|_, m| now.saturating_duration_since(m.heard_at) < MEMBER_RETENTION);
+        let claimed = self.check_suspicion(now);
+        let patience_ends = self.claim_wait_ends();
         let patience_ended = before < patience_ends && patience_ends <= now;
         let mut members = self.members.values();
         let alive_changed = members.any(|m| self.is_alive(m, before) != self.is_alive(m, now));
@@ -174,7 +174,7 @@
 
     /// Live nodes, this one among them, and the incarnation of the one that places streams; [`NO_OWNER`] in
     /// a node that has just started and hears of no claim.
-    pub(super) fn live(&self, now: Instant) -> (Vec<LiveNode>, u64) {
+    pub(super) fn live_nodes(&self, now: Instant) -> (Vec<LiveNode>, u64) {
         let all = self.ranked(now);
         let owner = if self.awaits_claim(now, all[0]) {
             NO_OWNER
@@ -228,12 +228,12 @@
             .iter()
             .filter(|n| n.is_watching && n.incarnation != own);
         let is_watched = watching.count() >= MIN_WATCHING;
-        let most = self.most_watchers(now, is_watched);
+        let most = self.max_watchers(now, is_watched);
         rank.is_some_and(|r| r < most)
     }
 
     /// How many nodes follow the store now, the best owners first.
-    fn most_watchers(&mut self, now: Instant, is_watched: bool) -> usize {
+    fn max_watchers(&mut self, now: Instant, is_watched: bool) -> usize {
         if is_watched {
             self.unwatched_since = None;
             return WATCHERS;
@@ -241,7 +241,7 @@
         let since = *self.unwatched_since.get_or_insert(now);
         let steps = now
             .saturating_duration_since(since)
-            .div_duration_f64(WATCHERS_DOUBLE);
+            .div_duration_f64(WATCHERS_DOUBLE_INTERVAL);
         let doubled = STANDBY_WATCHERS << (steps as u32).min(8);
         doubled.min(MAX_WATCHERS)
     }
@@ -259,12 +259,12 @@
 
     /// Address of a live node that knows more, one of the own failure domain where there is one: what is
     /// fetched may be large, and the way to other domains is narrow and dear.
-    pub(super) fn better_informed(
+    pub(super) fn choose_peer(
         &mut self,
         now: Instant,
-        is_better: impl Fn(&MemberState) -> bool,
+        predicate: impl Fn(&MemberState) -> bool,
     ) -> Option<SocketAddr> {
-        let alive = self.alive(now).filter(|m| is_better(&m.state));
+        let alive = self.alive(now).filter(|m| predicate(&m.state));
         let (near, far): (Vec<&MemberState>, Vec<&MemberState>) = alive
             .map(|m| &m.state)
             .partition(|n| n.domain == self.own.domain);
--- a/crates/azuresaddle-edge/src/control/publish.rs
+++ b/crates/azuresaddle-edge/src/control/publish.rs
@@ -6,21 +6,21 @@
 use tokio::time::Instant;
 
 use super::actor::Control;
-use super::published::Published;
+use super::published_targets::PublishedTargets;
 use crate::snapshot::{Snapshot, TargetSet};
 
 impl<N: Network> Control<N> {
     /// Publishes what has changed, and tells partners what is new here.
-    pub(super) async fn publish_and_tell(&mut self) {
+    pub(super) async fn publish_and_gossip(&mut self) {
         self.has_changes = false;
         let now = Instant::now();
         self.published_at = now;
-        let claimed = self.members.claim_first(now);
-        self.tell_claim(now, claimed).await;
+        let claimed = self.members.claim_if_first(now);
+        self.announce_claim(now, claimed).await;
         if self.publish() {
             // What this node learned spreads at once, not with the next round.
-            let partners = self.members.partners();
-            self.send_heartbeats(Instant::now(), &partners).await;
+            let peers = self.members.gossip_peers();
+            self.send_heartbeats(Instant::now(), &peers).await;
         }
     }
 
@@ -28,7 +28,7 @@
     fn publish(&mut self) -> bool {
         let version = self.version();
         let position = self.registry.position();
-        let Published {
+        let PublishedTargets {
             targets,
             records,
             hash,
@@ -42,7 +42,7 @@
             own.targets = position;
             own.targets_hash = hash;
         });
-        let (nodes, owner) = self.members.live(Instant::now());
+        let (nodes, owner) = self.members.live_nodes(Instant::now());
         let before = self.snapshots.load();
         self.log_changes(&before, &targets, nodes.len(), owner);
         self.metrics.configuration_version.set(version);
--- a/crates/azuresaddle-edge/src/control/published.rs
+++ b/crates/azuresaddle-edge/src/control/published_targets.rs
@@ -12,7 +12,7 @@
 
 /// What other parts and other nodes are told of the targets; cheap to clone.
 #[derive(Clone, Debug)]
-pub(super) struct Published {
+pub(super) struct PublishedTargets {
     /// Targets that take new work.
     pub(super) targets: Arc<TargetSet>,
     /// All that is known, for other nodes.
@@ -23,12 +23,16 @@
 
 impl Registry {
     /// What other parts and other nodes are told, built anew only after a change.
-    pub(super) fn published(&mut self) -> Published {
+    pub(super) fn published(&mut self) -> PublishedTargets {
         if let Some(published) = &self.published {
             return published.clone();
         }
-        let records = self.held.values().map(|h| Arc::clone(&h.record)).collect();
-        let published = Published {
+        let records = self
+            .entries
+            .values()
+            .map(|h| Arc::clone(&h.record))
+            .collect();
+        let published = PublishedTargets {
             targets: Arc::new(self.targets()),
             records: Arc::new(records),
             hash: self.hash(),
@@ -50,7 +54,7 @@
 
     /// Names of all targets that have an entry.
     pub(super) fn names(&self) -> HashSet<HostName> {
-        let entries = self.held.values().filter_map(|h| h.record.entry());
+        let entries = self.entries.values().filter_map(|h| h.record.entry());
         entries.map(|e| e.id.clone()).collect()
     }
 
@@ -60,7 +64,10 @@
 
     /// Targets that take new work.
     pub(super) fn targets(&self) -> TargetSet {
-        let entries = self.held.values().filter_map(|h| h.record.entry().cloned());
+        let entries = self
+            .entries
+            .values()
+            .filter_map(|h| h.record.entry().cloned());
         TargetSet::new(entries.filter(|e| e.state == TargetState::Ready && !self.is_draining(e)))
     }
 
@@ -70,7 +77,7 @@
     /// removal for a lapse of an outage; the hash shows it.
     fn hash(&self) -> u32 {
         let mut hash = 0;
-        for held in self.held.values() {
+        for held in self.entries.values() {
             let Some(entry) = held.record.entry() else {
                 continue;
             };
--- a/crates/azuresaddle-edge/src/control/registry.rs
+++ b/crates/azuresaddle-edge/src/control/registry.rs
@@ -9,33 +9,33 @@
 use azuresaddle_platform::{DecodeError, Item, StoreEra, StorePosition};
 use tokio::time::Instant;
 
-use super::held_entry::HeldEntry;
-use super::published::Published;
+use super::published_targets::PublishedTargets;
+use super::registry_entry::RegistryEntry;
 use super::target_record::{TargetRecord, TargetUpdate};
 
 /// Time for which an entry that the store has lost, in an outage or by going back to an older copy, is still believed:
 /// a target that lives registers again within about two seconds.
-const RETURN_GRACE: Duration = Duration::from_millis(2200);
+const REMOVAL_GRACE: Duration = Duration::from_millis(2200);
 
 /// Time for which a removed entry is remembered, so that neither older updates of it nor an older copy of the store
 /// bring it back.
-const TOMBSTONE_KEPT: Duration = Duration::from_secs(60);
+const TOMBSTONE_TTL: Duration = Duration::from_secs(60);
 
 /// Entries by key.
 #[derive(Debug, Default)]
 pub(super) struct Registry {
-    pub(super) held: HashMap<Arc<str>, HeldEntry>,
+    pub(super) entries: HashMap<Arc<str>, RegistryEntry>,
     /// Position of the latest change that is known.
     position: StorePosition,
     /// Position up to which this node knows all changes from the store itself.
-    followed: StorePosition,
+    read_up_to: StorePosition,
     /// The latest copy of the store that is known of.
     era: StoreEra,
     /// Until when removals are taken for lapses of an outage; `None` once all that happened in it is
     /// known.
-    grace_until: Option<Instant>,
+    outage_grace_until: Option<Instant>,
     /// Until when what the store's present copy lacks is believed.
-    copy_grace_until: Option<Instant>,
+    rollback_grace_until: Option<Instant>,
     /// Until when what the last listing lacked may be a lapse that others still believe in.
     listing_grace_until: Option<Instant>,
     /// Starts of targets that announced in an answer that they drain, whatever their entries say: an unavailable or slow
@@ -43,7 +43,7 @@
     pub(super) draining: HashMap<HostName, TargetStart>,
     /// What was published last; `None` once something has changed. Building it anew takes
     /// milliseconds at 3,000 targets, and membership changes far more often than they do.
-    pub(super) published: Option<Published>,
+    pub(super) published: Option<PublishedTargets>,
 }
 
 impl Registry {
@@ -53,8 +53,8 @@
     }
 
     /// Notes that the store answers again.
-    pub(super) fn on_store_back(&mut self, now: Instant) {
-        self.grace_until = Some(now + RETURN_GRACE);
+    pub(super) fn on_store_reconnected(&mut self, now: Instant) {
+        self.outage_grace_until = Some(now + REMOVAL_GRACE);
     }
 
     /// Notes that all changes of an outage are known: what is removed from now on has left.
@@ -62,7 +62,7 @@
     /// HeldEntry like a lapse, the removal of a target that left right after a node had regained the store
     /// would be believed so late that work is sent there past its time.
     pub(super) fn on_caught_up(&mut self) {
-        self.grace_until = None;
+        self.outage_grace_until = None;
     }
 
     /// The latest copy of the store that is known of.
@@ -76,12 +76,12 @@
             return;
         }
         self.era = era;
-        self.copy_grace_until = Some(now + RETURN_GRACE);
+        self.rollback_grace_until = Some(now + REMOVAL_GRACE);
     }
 
     /// Notes up to where this node itself has followed the store.
-    pub(super) fn on_followed(&mut self, at: StorePosition) {
-        self.followed = self.followed.max(at);
+    pub(super) fn on_read_up_to(&mut self, at: StorePosition) {
+        self.read_up_to = self.read_up_to.max(at);
     }
 
     /// Notes that all is known that another node knew.
@@ -91,7 +91,7 @@
 
     /// Takes one change; true where the targets are different now.
     pub(super) fn apply(&mut self, now: Instant, item: Item) -> bool {
-        let (record, error) = TargetRecord::of_item(item);
+        let (record, error) = TargetRecord::from_item(item);
         if record.is_removed() {
             return self.remove(now, record.key(), record.position());
         }
@@ -103,62 +103,69 @@
 
     /// Takes what another node knows; true where the targets are different now.
     pub(super) fn apply_update(&mut self, now: Instant, update: TargetUpdate) -> bool {
-        let (record, _) = TargetRecord::of_update(update);
+        let (record, _) = TargetRecord::from_update(update);
         let key = Arc::clone(record.key());
-        let is_unknown = !self.held.contains_key(&key);
+        let is_unknown = !self.entries.contains_key(&key);
         let position = record.position();
         let changed = self.merge(now, record);
-        if is_unknown && position <= self.followed {
+        if is_unknown && position <= self.read_up_to {
             // This node has read the store since, and it was not there.
-            return self.doubt(now, &key, position) | changed;
+            return self.remove_if_absent_from_store(now, &key, position) | changed;
         }
         changed
     }
 
     /// Gives up an entry that the store did not hold when this node read it, after the grace where it may have lapsed in
     /// an outage, or only an earlier copy of the store held it.
-    fn doubt(&mut self, now: Instant, key: &str, position: StorePosition) -> bool {
-        let grace = if position.era == self.followed.era {
+    fn remove_if_absent_from_store(
+        &mut self,
+        now: Instant,
+        key: &str,
+        position: StorePosition,
+    ) -> bool {
+        let grace = if position.era == self.read_up_to.era {
             self.listing_grace_until
         } else {
-            self.copy_grace_until
+            self.rollback_grace_until
         };
         let grace = grace.filter(|until| now < *until);
-        self.remove_in_grace(now, key, self.followed, grace)
+        self.remove_in_grace(now, key, self.read_up_to, grace)
     }
 
     fn merge(&mut self, now: Instant, record: TargetRecord) -> bool {
         self.on_era(now, record.position().era);
         self.position = self.position.max(record.position());
-        let Some(held) = self.held.get_mut(record.key()) else {
+        let Some(entry) = self.entries.get_mut(record.key()) else {
             let has_entry = record.entry().is_some();
-            let held = HeldEntry {
+            let entry = RegistryEntry {
                 removed_at: record.is_removed().then_some(now),
                 record: Arc::new(record),
-                give_up: None,
+                pending_removal: None,
             };
-            self.held.insert(Arc::clone(held.record.key()), held);
+            self.entries.insert(Arc::clone(entry.record.key()), entry);
             self.published = None;
             return has_entry;
         };
         if record.entry().is_some() {
             // The store has the entry again.
-            held.give_up.take_if(|(_, at)| record.position() > *at);
+            entry
+                .pending_removal
+                .take_if(|(_, at)| record.position() > *at);
         }
-        let merged = held.record.merged(&record);
+        let merged = entry.record.merged(&record);
         if record.entry().is_some() && record.number() < merged.number() {
             // A write that was carried out long after it was sent, or an older copy of the store.
             tracing::debug!(part = "control", key = %record.key(), "older target entry ignored");
         }
-        if merged.is_same(&held.record) {
+        if merged.is_same(&entry.record) {
             return false;
         }
         self.published = None;
-        held.replace(now, merged)
+        entry.replace(now, merged)
     }
 
     fn log_unreadable(&self, record: &TargetRecord, error: &DecodeError) {
-        let known = self.held.get(record.key());
+        let known = self.entries.get(record.key());
         if known.is_none_or(|h| !h.record.is_unreadable()) {
             tracing::warn!(part = "control", %error, "target entry not readable");
         }
@@ -168,7 +175,7 @@
     fn remove(&mut self, now: Instant, key: &str, at: StorePosition) -> bool {
         self.on_era(now, at.era);
         self.position = self.position.max(at);
-        let grace = self.grace_until.filter(|until| now < *until);
+        let grace = self.outage_grace_until.filter(|until| now < *until);
         self.remove_in_grace(now, key, at, grace)
     }
 
@@ -179,23 +186,23 @@
         at: StorePosition,
         grace: Option<Instant>,
     ) -> bool {
-        let Some(held) = self.held.get_mut(key) else {
+        let Some(entry) = self.entries.get_mut(key) else {
             return false;
         };
-        if at < held.record.position() || held.record.is_removed() {
+        if at < entry.record.position() || entry.record.is_removed() {
             return false;
         }
         if let Some(until) = grace
-            && held.is_ready()
+            && entry.is_ready()
         {
             let is_of_this_copy = |(_, known): &(Instant, StorePosition)| known.era == at.era;
-            let known = held.give_up.filter(is_of_this_copy);
-            held.give_up = known.or(Some((until, at)));
+            let known = entry.pending_removal.filter(is_of_this_copy);
+            entry.pending_removal = known.or(Some((until, at)));
             return false;
         }
         self.published = None;
-        let removed = held.record.removed(at);
-        held.replace(now, removed)
+        let removed = entry.record.removed(at);
+        entry.replace(now, removed)
     }
 
     /// Takes a full listing that was read at a position; true where the targets are different now.
@@ -206,58 +213,58 @@
         at: StorePosition,
     ) -> bool {
         self.on_era(now, at.era);
-        self.listing_grace_until = Some(now + RETURN_GRACE);
+        self.listing_grace_until = Some(now + REMOVAL_GRACE);
         let listed: HashSet<String> = items.iter().map(|i| i.key.clone()).collect();
         let mut changed = false;
         for item in items {
             changed |= self.apply(now, item);
         }
-        let missing = self.held.iter();
+        let missing = self.entries.iter();
         let missing =
             missing.filter(|(key, h)| !h.record.is_removed() && !listed.contains(&***key));
         let missing: Vec<Arc<str>> = missing.map(|(key, _)| Arc::clone(key)).collect();
         for key in missing {
-            let grace = self.grace_of_missing(now, &key, at.era);
+            let grace = self.grace_for_missing(now, &key, at.era);
             changed |= self.remove_in_grace(now, &key, at, grace);
         }
-        self.on_followed(at);
+        self.on_read_up_to(at);
         changed
     }
 
     /// Until when an entry is believed that a listing lacks.
-    fn grace_of_missing(&self, now: Instant, key: &str, era: StoreEra) -> Option<Instant> {
-        let known = self.held.get(key).map(|h| h.record.position().era);
+    fn grace_for_missing(&self, now: Instant, key: &str, era: StoreEra) -> Option<Instant> {
+        let known = self.entries.get(key).map(|h| h.record.position().era);
         let grace = if known.is_some_and(|known| known < era) {
-            self.copy_grace_until
+            self.rollback_grace_until
         } else {
-            self.grace_until
+            self.outage_grace_until
         };
         grace.filter(|until| now < *until)
     }
 
     /// Gives up entries whose grace is over; true where the targets are different now.
-    pub(super) fn check(&mut self, now: Instant) -> bool {
+    pub(super) fn expire_removals(&mut self, now: Instant) -> bool {
         let mut changed = false;
-        let followed = self.followed;
-        for held in self.held.values_mut() {
-            if let Some((_, at)) = held.give_up.take_if(|(until, _)| now >= *until) {
+        let read_up_to = self.read_up_to;
+        for entry in self.entries.values_mut() {
+            if let Some((_, at)) = entry.pending_removal.take_if(|(until, _)| now >= *until) {
                 // It is not there up to here; others take a later change for an update.
-                let at = if followed.era == at.era {
-                    at.max(followed)
+                let at = if read_up_to.era == at.era {
+                    at.max(read_up_to)
                 } else {
                     at
                 };
-                let removed = held.record.removed(at);
-                held.replace(now, removed);
+                let removed = entry.record.removed(at);
+                entry.replace(now, removed);
                 changed = true;
             }
         }
-        let before = self.held.len();
-        self.held.retain(|_, h| {
+        let before = self.entries.len();
+        self.entries.retain(|_, h| {
             h.removed_at
-                .is_none_or(|at| now.saturating_duration_since(at) < TOMBSTONE_KEPT)
+                .is_none_or(|at| now.saturating_duration_since(at) < TOMBSTONE_TTL)
         });
-        if changed || self.held.len() != before {
+        if changed || self.entries.len() != before {
             self.published = None;
         }
         changed
--- a/crates/azuresaddle-edge/src/control/held_entry.rs
+++ b/crates/azuresaddle-edge/src/control/registry_entry.rs
@@ -10,15 +10,15 @@
 
 /// What is known of one entry.
 #[derive(Debug)]
-pub(super) struct HeldEntry {
+pub(super) struct RegistryEntry {
     pub(super) record: Arc<TargetRecord>,
     /// A removal that is believed later, and when.
-    pub(super) give_up: Option<(Instant, StorePosition)>,
+    pub(super) pending_removal: Option<(Instant, StorePosition)>,
     /// When the removal was learned.
     pub(super) removed_at: Option<Instant>,
 }
 
-impl HeldEntry {
+impl RegistryEntry {
     /// Whether the target takes new work, by its entry.
     pub(super) fn is_ready(&self) -> bool {
         let entry = self.record.entry();
@@ -28,7 +28,7 @@
     /// Takes a later record; true where what it says of the target is different.
     pub(super) fn replace(&mut self, now: Instant, record: TargetRecord) -> bool {
         if record.is_removed() {
-            self.give_up = None;
+            self.pending_removal = None;
         }
         self.removed_at = record.is_removed().then(|| self.removed_at.unwrap_or(now));
         let before = std::mem::replace(&mut self.record, Arc::new(record));
--- a/crates/azuresaddle-edge/src/control/signal_records.rs
+++ b/crates/azuresaddle-edge/src/control/signal_records.rs
@@ -11,13 +11,13 @@
 use crate::snapshot::TargetSet;
 
 /// Time after a limit was seen before a request without one can lift it: answers overtake each other on their way.
-const OVERTAKING: Duration = Duration::from_millis(50);
+const REORDER_WINDOW: Duration = Duration::from_millis(50);
 
 /// Time after which an unchanged limit is sent again: a node that was partitioned may have missed it.
 const REGOSSIP_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Time for which the signals of a target without an entry are remembered: its entry may only have lapsed.
-const KEPT: Duration = Duration::from_secs(600);
+const SIGNAL_RETENTION: Duration = Duration::from_secs(600);
 
 /// What has changed for a target.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -32,7 +32,7 @@
 
 /// Signals of one start of a target.
 #[derive(Clone, Copy, Debug)]
-struct Record {
+struct SignalRecord {
     started: TargetStart,
     is_draining: bool,
     rate_limit: Option<RateLimit>,
@@ -47,7 +47,7 @@
 /// Signals by target.
 #[derive(Debug, Default)]
 pub(super) struct SignalRecords {
-    records: HashMap<HostName, Record>,
+    records: HashMap<HostName, SignalRecord>,
 }
 
 impl SignalRecords {
@@ -62,7 +62,7 @@
         }
         match observed.signals.rate_limit {
             Some(limit) => changes.extend(record.set_limit(observed.seen_at, Some(limit))),
-            None if record.ends_limit(observed) => {
+            None if record.lifts_limit(observed) => {
                 changes.extend(record.set_limit(observed.seen_at, None));
             }
             None => {}
@@ -107,7 +107,7 @@
     }
 
     /// What is known of a target now, for other nodes.
-    pub(super) fn update_of(&self, now: Instant, target: &HostName) -> Option<SignalUpdate> {
+    pub(super) fn update_for(&self, now: Instant, target: &HostName) -> Option<SignalUpdate> {
         let record = self.records.get(target)?;
         Some(record.update(now, target))
     }
@@ -135,7 +135,8 @@
 
     /// Forgets targets that have been gone for long.
     pub(super) fn forget_old(&mut self, now: Instant, is_known: impl Fn(&HostName) -> bool) {
-        let is_recent = |r: &Record| now.saturating_duration_since(r.seen_at) < KEPT;
+        let is_recent =
+            |r: &SignalRecord| now.saturating_duration_since(r.seen_at) < SIGNAL_RETENTION;
         self.records.retain(|id, r| is_recent(r) || is_known(id));
     }
 
@@ -145,20 +146,20 @@
         now: Instant,
         target: &HostName,
         started: TargetStart,
-    ) -> Option<&mut Record> {
+    ) -> Option<&mut SignalRecord> {
         let record = self
             .records
             .entry(target.clone())
-            .or_insert(Record::new(now, started));
+            .or_insert(SignalRecord::new(now, started));
         if record.started < started {
-            *record = Record::new(now, started);
+            *record = SignalRecord::new(now, started);
         }
         record.seen_at = record.seen_at.max(now);
         (record.started == started).then_some(record)
     }
 }
 
-impl Record {
+impl SignalRecord {
     fn new(now: Instant, started: TargetStart) -> Self {
         Self {
             started,
@@ -187,9 +188,9 @@
     }
 
     /// Whether an answer without a limit lifts the known one: its request was sent after that was announced.
-    fn ends_limit(&self, observed: &ObservedSignals) -> bool {
+    fn lifts_limit(&self, observed: &ObservedSignals) -> bool {
         let named_at = self.limit_seen_at.filter(|_| self.rate_limit.is_some());
-        observed.is_served && named_at.is_some_and(|at| observed.sent_at >= at + OVERTAKING)
+        observed.is_served && named_at.is_some_and(|at| observed.sent_at >= at + REORDER_WINDOW)
     }
 
     fn update(&self, now: Instant, target: &HostName) -> SignalUpdate {
--- a/crates/azuresaddle-edge/src/control/signals.rs
+++ b/crates/azuresaddle-edge/src/control/signals.rs
@@ -7,16 +7,16 @@
 use tokio::time::Instant;
 
 use super::actor::Control;
+use super::gossip_queue::GossipQueue;
 use super::heartbeat::{Datagram, MAX_BYTES};
 use super::signal_records::SignalChange;
-use super::update_spread::UpdateSpread;
 use crate::signals::{ObservedSignals, SignalUpdate};
 
 /// Most signals in a datagram, each of some 40 bytes beside the target's name.
 pub(super) const MAX_SIGNALS: usize = 20;
 
 /// Targets whose signals are to be gossiped. The update is made when it is sent, since it holds the signal's age.
-pub(super) type SignalSpread = UpdateSpread<HostName, MAX_SIGNALS>;
+pub(super) type SignalGossip = GossipQueue<HostName, MAX_SIGNALS>;
 
 /// Ticks between two looks for targets that are gone.
 const TICKS_PER_CLEANUP: u32 = 100;
@@ -25,13 +25,13 @@
     /// Takes the signals of an answer that this node has relayed, and gossips them; true if something has changed.
     pub(super) async fn on_signals_observed(&mut self, observed: &ObservedSignals) -> bool {
         let changes = self.signals.on_observed(observed);
-        self.note_signals(&observed.target, observed.started, &changes);
+        self.apply_signal_changes(&observed.target, observed.started, &changes);
         let has_changed = !changes.is_empty();
         if self
             .signals
             .should_gossip(observed.seen_at, &observed.target, has_changed)
         {
-            self.signal_spread.push(observed.target.clone());
+            self.signal_gossip.push(observed.target.clone());
             self.gossip_signals().await;
         }
         has_changed
@@ -43,13 +43,13 @@
         let mut has_changed = false;
         for update in updates {
             let changes = self.signals.on_gossip(now, update);
-            self.note_signals(&update.target, update.started, &changes);
+            self.apply_signal_changes(&update.target, update.started, &changes);
             let is_changed = !changes.is_empty();
             has_changed |= is_changed;
             if !self.members.is_mesh()
                 && self.signals.should_gossip(now, &update.target, is_changed)
             {
-                self.signal_spread.push(update.target.clone());
+                self.signal_gossip.push(update.target.clone());
             }
         }
         if has_changed {
@@ -58,7 +58,12 @@
         has_changed
     }
 
-    fn note_signals(&mut self, target: &HostName, started: TargetStart, changes: &[SignalChange]) {
+    fn apply_signal_changes(
+        &mut self,
+        target: &HostName,
+        started: TargetStart,
+        changes: &[SignalChange],
+    ) {
         for change in changes {
             match change {
                 SignalChange::Draining => {
@@ -81,12 +86,12 @@
     /// Sends the next round of signals.
     pub(super) async fn gossip_signals(&mut self) {
         let now = Instant::now();
-        let mut targets = self.signal_spread.next_round();
+        let mut targets = self.signal_gossip.next_round();
         targets.sort_unstable();
         targets.dedup();
         let updates = targets
             .iter()
-            .filter_map(|t| self.signals.update_of(now, t));
+            .filter_map(|t| self.signals.update_for(now, t));
         let updates: Vec<SignalUpdate> = updates.collect();
         if updates.is_empty() {
             return;
@@ -94,7 +99,7 @@
         let to = if self.members.is_mesh() {
             self.members.alive_hosts(now)
         } else {
-            self.members.partners()
+            self.members.gossip_peers()
         };
         self.send_signals(&to, updates).await;
     }
@@ -123,7 +128,7 @@
     }
 
     /// Forgets targets that are gone, now and then.
-    pub(super) fn clean_signals(&mut self, now: Instant) {
+    pub(super) fn expire_signals(&mut self, now: Instant) {
         if self.members.ticks.is_multiple_of(TICKS_PER_CLEANUP) {
             let known = self.registry.names();
             self.signals.forget_old(now, |id| known.contains(id));
--- a/crates/azuresaddle-edge/src/control/start_gate.rs
+++ b/crates/azuresaddle-edge/src/control/start_gate.rs
@@ -30,7 +30,7 @@
     /// The latest configuration that it has read, by its version.
     candidate: Option<(u64, Vec<u8>)>,
     /// When the first configuration was in force.
-    pub(super) began_at: Option<Instant>,
+    pub(super) serving_since: Option<Instant>,
 }
 
 /// What a node that starts knows of the others.
@@ -57,7 +57,7 @@
 
 impl<N: Network> Control<N> {
     /// Whether the first configuration may be in force here.
-    pub(super) fn may_begin(&self, now: Instant, version: u64) -> bool {
+    pub(super) fn may_start_serving(&self, now: Instant, version: u64) -> bool {
         let age = now.saturating_duration_since(self.members.started_at);
         let view = PeerView {
             newest: self.members.newest_configuration(now),
@@ -67,16 +67,16 @@
     }
 
     /// Tells others once this node has served for a while.
-    pub(super) fn note_settled(&mut self, now: Instant) {
-        let Some(began_at) = self.start_gate.began_at else {
+    pub(super) fn update_settled(&mut self, now: Instant) {
+        let Some(serving_since) = self.start_gate.serving_since else {
             return;
         };
-        let is_settled = now.saturating_duration_since(began_at) >= SETTLED_AFTER;
+        let is_settled = now.saturating_duration_since(serving_since) >= SETTLED_AFTER;
         self.members.update_own(|own| own.is_settled = is_settled);
     }
 
     /// Keeps a configuration that may not be in force yet, unless a later one waits.
-    pub(super) fn hold_back(&mut self, version: u64, json: Vec<u8>) {
+    pub(super) fn defer_configuration(&mut self, version: u64, json: Vec<u8>) {
         let waiting = self.start_gate.candidate.as_ref();
         if waiting.is_none_or(|(known, _)| *known < version) {
             self.start_gate.candidate = Some((version, json));
@@ -84,7 +84,7 @@
     }
 
     /// Whether a configuration waits.
-    pub(super) fn holds_back(&self) -> bool {
+    pub(super) fn has_deferred_configuration(&self) -> bool {
         self.start_gate.candidate.is_some()
     }
 
@@ -94,7 +94,7 @@
     }
 
     /// Looks again at what waits; true where it is in force now.
-    pub(super) fn release_held_back(&mut self) -> bool {
+    pub(super) fn retry_deferred_configuration(&mut self) -> bool {
         let candidate = self.start_gate.candidate.take();
         candidate.is_some_and(|(_, json)| self.on_configuration(json, "the store"))
     }
--- a/crates/azuresaddle-edge/src/control/store_events.rs
+++ b/crates/azuresaddle-edge/src/control/store_events.rs
@@ -20,17 +20,17 @@
 
     fn on_store_event(&mut self, event: StoreEvent) -> bool {
         let now = Instant::now();
-        if !matches!(event, StoreEvent::Lost { .. }) {
+        if !matches!(event, StoreEvent::Unreachable { .. }) {
             self.store_answered_at = Some(now);
         }
         match event {
-            StoreEvent::Back => {
+            StoreEvent::Reconnected => {
                 tracing::info!(part = "control", "store regained");
                 self.is_store_lost = false;
-                self.registry.on_store_back(now);
+                self.registry.on_store_reconnected(now);
                 false
             }
-            StoreEvent::Lost { reason } => {
+            StoreEvent::Unreachable { reason } => {
                 tracing::warn!(part = "control", reason, "store lost");
                 self.store_answered_at = None;
                 self.is_store_lost = true;
@@ -39,7 +39,7 @@
             }
             StoreEvent::Era(era) => {
                 self.registry.on_era(now, era);
-                self.note_era();
+                self.detect_rollback();
                 false
             }
             StoreEvent::Listing { items, at } => {
@@ -55,7 +55,7 @@
             StoreEvent::Page(items) => self.on_items(now, items),
             StoreEvent::Changes { items, at } => {
                 let changed = self.on_items(now, items);
-                self.registry.on_followed(at);
+                self.registry.on_read_up_to(at);
                 self.registry.on_caught_up();
                 changed
             }
@@ -93,8 +93,8 @@
         if version <= self.version() {
             return false;
         }
-        if self.configuration.is_none() && !self.may_begin(Instant::now(), version) {
-            self.hold_back(version, json);
+        if self.configuration.is_none() && !self.may_start_serving(Instant::now(), version) {
+            self.defer_configuration(version, json);
             return false;
         }
         tracing::info!(
@@ -104,7 +104,9 @@
             source,
             "configuration in force"
         );
-        self.start_gate.began_at.get_or_insert_with(Instant::now);
+        self.start_gate
+            .serving_since
+            .get_or_insert_with(Instant::now);
         self.configuration = Some(Arc::new(configuration));
         self.raw_configuration = Some(Arc::new(json));
         true
--- a/crates/azuresaddle-edge/src/control/store_watch.rs
+++ b/crates/azuresaddle-edge/src/control/store_watch.rs
@@ -24,9 +24,9 @@
 #[derive(Debug)]
 pub(super) enum StoreEvent {
     /// The store answers again, after it did not.
-    Back,
+    Reconnected,
     /// The store does not answer.
-    Lost {
+    Unreachable {
         /// Why.
         reason: String,
     },
@@ -56,7 +56,7 @@
     mut enabled: watch::Receiver<bool>,
     tx: mpsc::Sender<StoreEvent>,
 ) {
-    let mut progress = Progress::start();
+    let mut progress = ReadProgress::start();
     let mut era = store.subscribe_era();
     let mut is_lost = false;
     let mut backoff = FIRST_BACKOFF;
@@ -68,9 +68,9 @@
         let result = tokio::select! {
             result = next_event(&store, &mut progress) => result,
             // A watch that waits on the earlier copy may never be answered.
-            Ok(()) = wait_for_later(&mut later) => Err(StoreError::WentBack),
+            Ok(()) = wait_for_later_era(&mut later) => Err(StoreError::WentBack),
         };
-        if let Some(era) = later_era(&mut era)
+        if let Some(era) = take_later_era(&mut era)
             && tx.send(StoreEvent::Era(era)).await.is_err()
         {
             return;
@@ -78,14 +78,14 @@
         let event = match result {
             Ok(event) => {
                 backoff = FIRST_BACKOFF;
-                if is_lost && tx.send(StoreEvent::Back).await.is_err() {
+                if is_lost && tx.send(StoreEvent::Reconnected).await.is_err() {
                     return;
                 }
                 is_lost = false;
                 event
             }
             Err(StoreError::Compacted | StoreError::WentBack) => {
-                progress = Progress::start();
+                progress = ReadProgress::start();
                 continue;
             }
             Err(e) => {
@@ -96,7 +96,7 @@
                     continue;
                 }
                 is_lost = true;
-                StoreEvent::Lost {
+                StoreEvent::Unreachable {
                     reason: e.to_string(),
                 }
             }
@@ -111,7 +111,7 @@
 }
 
 /// Waits until an answer to any call tells a later era than the one that was read last.
-async fn wait_for_later(
+async fn wait_for_later_era(
     era: &mut watch::Receiver<Option<StoreEra>>,
 ) -> Result<(), watch::error::RecvError> {
     let known = *era.borrow();
@@ -126,13 +126,13 @@
 }
 
 /// The era, where an answer to any call has told a later one than before.
-fn later_era(era: &mut watch::Receiver<Option<StoreEra>>) -> Option<StoreEra> {
+fn take_later_era(era: &mut watch::Receiver<Option<StoreEra>>) -> Option<StoreEra> {
     let has_changed = era.has_changed().unwrap_or(false);
     has_changed.then(|| *era.borrow_and_update()).flatten()
 }
 
 /// How far the store was read.
-enum Progress {
+enum ReadProgress {
     /// All is read, page by page.
     Listing {
         items: Vec<Item>,
@@ -145,7 +145,7 @@
     Watching(StorePosition),
 }
 
-impl Progress {
+impl ReadProgress {
     fn start() -> Self {
         Self::Listing {
             items: Vec::new(),
@@ -172,10 +172,10 @@
 /// pages of thousands of targets take seconds when hundreds of nodes start together.
 async fn next_event<N: Network>(
     store: &PlatformStore<N>,
-    progress: &mut Progress,
+    progress: &mut ReadProgress,
 ) -> Result<StoreEvent, StoreError> {
     match progress {
-        Progress::Listing { items, at, after } => {
+        ReadProgress::Listing { items, at, after } => {
             let page = store.page("", after.as_deref()).await?;
             let first_at = *at.get_or_insert(page.at);
             if page.at.era != first_at.era {
@@ -188,13 +188,13 @@
             }
             items.extend(page.items);
             let items = std::mem::take(items);
-            *progress = Progress::Watching(first_at);
+            *progress = ReadProgress::Watching(first_at);
             Ok(StoreEvent::Listing {
                 items,
                 at: first_at,
             })
         }
-        Progress::Watching(after) => {
+        ReadProgress::Watching(after) => {
             let changes = store.watch("", *after, WATCH_WAIT).await?;
             *after = changes.at.max(*after);
             Ok(StoreEvent::Changes {
--- a/crates/azuresaddle-edge/src/control/stored_crashes.rs
+++ b/crates/azuresaddle-edge/src/control/stored_crashes.rs
@@ -32,18 +32,18 @@
     }
 
     /// Crashes of a request that the store keeps.
-    pub(super) fn of(&self, request: Fingerprint) -> Vec<CrashKey> {
+    pub(super) fn of_request(&self, request: Fingerprint) -> Vec<CrashKey> {
         let all = self.keys.iter().copied();
         all.filter(|key| key.request == request).collect()
     }
 
     /// Looks at a time for what is lost, if not earlier.
-    pub(super) fn check_at(&mut self, at: Instant) {
+    pub(super) fn schedule_check(&mut self, at: Instant) {
         self.check_at = Some(self.check_at.map_or(at, |known| known.min(at)));
     }
 
     /// Whether it is time to look; only once.
-    pub(super) fn is_due(&mut self, now: Instant) -> bool {
+    pub(super) fn take_due_check(&mut self, now: Instant) -> bool {
         self.check_at.take_if(|at| now >= *at).is_some()
     }
 
--- a/crates/azuresaddle-edge/src/control/target_record.rs
+++ b/crates/azuresaddle-edge/src/control/target_record.rs
@@ -80,7 +80,7 @@
 
 impl TargetRecord {
     /// A change as the store told it, and why its value can't be read.
-    pub(super) fn of_item(item: Item) -> (Self, Option<DecodeError>) {
+    pub(super) fn from_item(item: Item) -> (Self, Option<DecodeError>) {
         let at = item.position;
         let presence = match item.value {
             Some(_) => Presence::Present {
@@ -93,7 +93,7 @@
     }
 
     /// A record that another node tells, and why its value can't be read.
-    pub(super) fn of_update(update: TargetUpdate) -> (Self, Option<DecodeError>) {
+    pub(super) fn from_update(update: TargetUpdate) -> (Self, Option<DecodeError>) {
         let presence = if update.is_removed {
             Presence::Removed(update.last)
         } else {
@@ -136,7 +136,7 @@
     }
 
     /// The record as it is told to other nodes.
-    pub(crate) fn update(&self) -> TargetUpdate {
+    pub(crate) fn to_update(&self) -> TargetUpdate {
         let (first, last) = self.seen();
         TargetUpdate {
             key: self.key.to_string(),
@@ -219,13 +219,13 @@
         match self.number.cmp(&other.number) {
             Ordering::Greater => (self, self.presence),
             Ordering::Less => (other, other.presence),
-            Ordering::Equal => (self.latest_of_number(other), self.seen_by_both(other)),
+            Ordering::Equal => (self.later_of_same_number(other), self.seen_by_both(other)),
         }
     }
 
     /// Which of two entries of the same number counts: a target that has said that it drains does not take work again
     /// because an older copy of the store says so.
-    fn latest_of_number<'a>(&'a self, other: &'a Self) -> &'a Self {
+    fn later_of_same_number<'a>(&'a self, other: &'a Self) -> &'a Self {
         let rank = |r: &Self| {
             let (first, last) = r.seen();
             let is_draining = r.entry.as_ref().map(|e| e.state == TargetState::Draining);
--- a/crates/azuresaddle-edge/src/control/tests/crash_spread.rs
+++ b/crates/azuresaddle-edge/src/control/tests/crash_gossip.rs
@@ -8,7 +8,7 @@
 
 use super::fleet::Fleet;
 use super::members::number;
-use crate::control::crashes::{CrashSpread, MAX_UPDATES};
+use crate::control::crashes::{CrashGossip, MAX_UPDATES};
 use crate::control::heartbeat::{Datagram, MAX_BYTES};
 use crate::control::members::TICK;
 use crate::metrics::Metrics;
@@ -27,19 +27,19 @@
 /// A node's quarantine and what it tells of it.
 struct Node {
     quarantine: std::sync::Arc<SharedQuarantine>,
-    spread: CrashSpread,
+    spread: CrashGossip,
 }
 
 /// Passes updates on in a fleet of which each node has heard; returns the rounds until all nodes keep the request
 /// from their targets, and the most datagrams of one node in a round.
-fn rounds_until_known(nodes: u16, lost_share: f64) -> (u32, usize) {
+fn rounds_until_known(nodes: u16, loss_rate: f64) -> (u32, usize) {
     let mut fleet = Fleet::new(nodes);
-    fleet.pass(std::time::Duration::from_secs(4));
+    fleet.advance(std::time::Duration::from_secs(4));
     let mut rng = SmallRng::seed_from_u64(u64::from(nodes));
     let mut all: Vec<Node> = (0..nodes)
         .map(|_| Node {
             quarantine: SharedQuarantine::new(mpsc::channel(1).0, Metrics::new()),
-            spread: CrashSpread::default(),
+            spread: CrashGossip::default(),
         })
         .collect();
     // Each crash is seen by another node.
@@ -67,13 +67,13 @@
             let to = if members.is_mesh() {
                 members.alive_hosts(fleet.now)
             } else {
-                members.partners()
+                members.gossip_peers()
             };
             most_sent = most_sent.max(to.len());
             sent.extend(to.into_iter().map(|ip| (ip, updates.clone())));
         }
         for (ip, updates) in sent {
-            if rng.random_bool(lost_share) {
+            if rng.random_bool(loss_rate) {
                 continue;
             }
             let node = &mut all[number(ip) - 1];
@@ -91,7 +91,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn all_nodes_know_within_the_propagation_time_although_datagrams_are_lost() {
+async fn all_nodes_know_within_the_propagation_time_despite_datagram_loss() {
     for nodes in [3, 9, 90, 300] {
         let (rounds, most_sent) = rounds_until_known(nodes, 0.1);
         assert!(TICK * rounds <= PROPAGATION_TIME, "{nodes} nodes: {rounds}");
@@ -100,8 +100,8 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_full_datagram_fits_and_each_piece_of_news_is_told_three_times() {
-    let mut spread = CrashSpread::default();
+async fn a_full_datagram_fits_and_each_update_is_sent_three_times() {
+    let mut spread = CrashGossip::default();
     for n in 0..100 {
         spread.push(CrashUpdate::Crash(crash(1, u64::MAX - n)));
     }
@@ -121,8 +121,8 @@
 
 /// Hundreds of targets end in one moment, each with all its streams.
 #[tokio::test(start_paused = true)]
-async fn news_that_wait_are_bounded() {
-    let mut spread = CrashSpread::default();
+async fn queued_updates_are_bounded() {
+    let mut spread = CrashGossip::default();
     for n in 0..10_000 {
         spread.push(CrashUpdate::Crash(crash(1, n)));
     }
--- a/crates/azuresaddle-edge/src/control/tests/succession.rs
+++ b/crates/azuresaddle-edge/src/control/tests/failover.rs
@@ -6,7 +6,7 @@
 use tokio::time::Instant;
 
 use super::fleet::Fleet;
-use super::members::{beat, ip, members, pass};
+use super::members::{advance, beat, ip, members};
 use crate::control::heartbeat::Vote;
 use crate::control::members::{Members, TICK};
 use crate::snapshot::NO_OWNER;
@@ -32,7 +32,7 @@
 }
 
 /// Brings a node's claim to all others.
-fn tell(fleet: &mut [Members], claimant: u16, now: Instant) {
+fn deliver_claim(fleet: &mut [Members], claimant: u16, now: Instant) {
     let beat = fleet[usize::from(claimant) - 1].bare_heartbeat();
     for members in fleet {
         members.on_heartbeat(now, ip(claimant), &beat);
@@ -40,7 +40,7 @@
 }
 
 fn owners(fleet: &[Members], now: Instant) -> Vec<u64> {
-    let mut all: Vec<u64> = fleet.iter().map(|m| m.live(now).1).collect();
+    let mut all: Vec<u64> = fleet.iter().map(|m| m.live_nodes(now).1).collect();
     all.sort_unstable();
     all.dedup();
     all
@@ -51,20 +51,20 @@
     let start = Instant::now();
     let mut fleet = fleet(start, 2);
     assert!(fleet[1].on_no_answer(start, 1000));
-    assert_eq!(fleet[1].live(start).1, 2000);
-    tell(&mut fleet, 2, start);
+    assert_eq!(fleet[1].live_nodes(start).1, 2000);
+    deliver_claim(&mut fleet, 2, start);
     assert_eq!(owners(&fleet, start), [2000], "the earlier owner yields");
     // It answers again; a second change would cost a second handover.
     let mut now = start;
     for counter in 2..26 {
-        now = pass(&mut fleet[1], now, TICK);
+        now = advance(&mut fleet[1], now, TICK);
         fleet[1].on_heartbeat(now, ip(1), &beat(1, counter));
     }
-    assert_eq!(fleet[1].live(now).1, 2000);
+    assert_eq!(fleet[1].live_nodes(now).1, 2000);
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_word_of_one_or_two_nodes_replaces_no_owner_of_300() {
+async fn one_or_two_votes_do_not_replace_the_owner_of_300() {
     let now = Instant::now();
     let mut fleet = fleet(now, 300);
     for _ in 0..10 {
@@ -75,7 +75,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn votes_of_long_ago_do_not_count() {
+async fn expired_votes_do_not_count() {
     let start = Instant::now();
     let mut fleet = fleet(start, 20);
     assert!(!fleet[1].on_vote(start, vote(7, 1)));
@@ -85,13 +85,13 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn votes_on_an_earlier_owner_do_not_count() {
+async fn votes_against_an_earlier_owner_do_not_count() {
     let now = Instant::now();
     let mut fleet = fleet(now, 20);
     for voter in 7..10 {
         fleet[1].on_vote(now, vote(voter, 1));
     }
-    tell(&mut fleet, 2, now);
+    deliver_claim(&mut fleet, 2, now);
     for voter in 10..14 {
         assert!(!fleet[2].on_vote(now, vote(voter, 1)));
     }
@@ -114,19 +114,19 @@
     }
     assert_eq!(claims, [2], "one takes over, once");
     assert!(owners(&fleet, now).len() <= 2);
-    tell(&mut fleet, 2, now);
+    deliver_claim(&mut fleet, 2, now);
     assert_eq!(owners(&fleet, now), [2000]);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_successor_that_does_not_take_over_is_passed_over() {
+async fn a_successor_that_does_not_take_over_is_skipped() {
     let start = Instant::now();
     let mut fleet = fleet(start, 20);
     fleet[9].on_no_answer(start, 1000);
     assert_eq!(fleet[9].vote(start).map(|v| v.0), Some(ip(2)));
     let mut now = start;
     while now < start + Duration::from_millis(600) {
-        now = pass(&mut fleet[9], now, TICK);
+        now = advance(&mut fleet[9], now, TICK);
         fleet[9].on_no_answer(now, 1000);
     }
     assert_eq!(fleet[9].vote(now).map(|v| v.0), Some(ip(3)));
@@ -137,13 +137,13 @@
     let start = Instant::now();
     let mut fleet = fleet(start, 20);
     fleet[9].on_no_answer(start, 1000);
-    let now = pass(&mut fleet[9], start, Duration::from_millis(1200));
+    let now = advance(&mut fleet[9], start, Duration::from_millis(1200));
     assert_eq!(fleet[9].vote(now), None);
-    assert_eq!(fleet[9].live(now).1, 1000);
+    assert_eq!(fleet[9].live_nodes(now).1, 1000);
 }
 
 #[tokio::test(start_paused = true)]
-async fn two_that_take_over_at_once_are_told_apart_by_rank() {
+async fn concurrent_claims_are_resolved_by_rank() {
     let now = Instant::now();
     let mut fleet = fleet(now, 20);
     for claimant in [2, 3] {
@@ -151,8 +151,8 @@
             fleet[claimant].on_vote(now, vote(voter, 1));
         }
     }
-    tell(&mut fleet, 3, now);
-    tell(&mut fleet, 4, now);
+    deliver_claim(&mut fleet, 3, now);
+    deliver_claim(&mut fleet, 4, now);
     assert_eq!(owners(&fleet, now), [3000]);
 }
 
@@ -187,35 +187,41 @@
         fleet.round();
         let now = fleet.now;
         let informed = fleet.nodes.iter().filter(|m| m.own.takes_callers());
-        let asked = informed.map(|m| m.live(now).1).filter(|o| *o != NO_OWNER);
-        owners_seen.push(asked.collect::<HashSet<u64>>().len());
+        let known = informed
+            .map(|m| m.live_nodes(now).1)
+            .filter(|o| *o != NO_OWNER);
+        owners_seen.push(known.collect::<HashSet<u64>>().len());
     }
     let most = owners_seen.iter().max();
     assert!(most <= Some(&2), "owners by round: {owners_seen:?}");
     let now = fleet.now;
     assert_eq!(owners(&fleet.nodes, now).len(), 1);
-    let owner = fleet.nodes[0].live(now).1;
+    let owner = fleet.nodes[0].live_nodes(now).1;
     let owner = fleet.nodes.iter().find(|m| m.own.incarnation == owner);
     assert_eq!(owner.map(|m| m.own.cpu_milli), Some(500));
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_node_that_has_just_started_asks_nobody_before_a_claim_or_a_second() {
+async fn a_starting_node_has_no_owner_before_a_claim_or_a_second() {
     let start = Instant::now();
     let mut members = members(start, 9);
     members.started_at = start;
     members.update_own(|own| own.cpu_milli = 120);
     members.on_heartbeat(start, ip(1), &beat(1, 1));
-    assert!(!members.claim_first(start), "a stronger host lives");
-    assert_eq!(members.live(start).1, NO_OWNER);
+    assert!(!members.claim_if_first(start), "a stronger host lives");
+    assert_eq!(members.live_nodes(start).1, NO_OWNER);
     let mut claim = beat(4, 1);
     claim.from.term = 1;
     members.on_heartbeat(start, ip(4), &claim);
-    assert_eq!(members.live(start).1, 4000, "the claim counts at once");
+    assert_eq!(
+        members.live_nodes(start).1,
+        4000,
+        "the claim counts at once"
+    );
 }
 
 #[tokio::test(start_paused = true)]
-async fn without_a_claim_the_best_known_node_is_asked_after_a_second() {
+async fn without_a_claim_the_highest_ranked_node_is_the_owner_after_a_second() {
     let start = Instant::now();
     let mut members = members(start, 9);
     members.started_at = start;
@@ -223,7 +229,7 @@
     let mut now = start;
     for counter in 1..12 {
         members.on_heartbeat(now, ip(1), &beat(1, counter));
-        now = pass(&mut members, now, TICK);
+        now = advance(&mut members, now, TICK);
     }
-    assert_eq!(members.live(now).1, 1000);
+    assert_eq!(members.live_nodes(now).1, 1000);
 }
--- a/crates/azuresaddle-edge/src/control/tests/fleet.rs
+++ b/crates/azuresaddle-edge/src/control/tests/fleet.rs
@@ -18,7 +18,7 @@
     /// Most heartbeats that a node sent in one round.
     pub(super) most_sent: usize,
     /// Part of the datagrams that is lost.
-    pub(super) lost_share: f64,
+    pub(super) loss_rate: f64,
     rng: SmallRng,
 }
 
@@ -29,7 +29,7 @@
             nodes: (1..=nodes).map(|n| members(now, n)).collect(),
             now,
             most_sent: 0,
-            lost_share: 0.0,
+            loss_rate: 0.0,
             rng: SmallRng::seed_from_u64(u64::from(nodes)),
         }
     }
@@ -44,8 +44,8 @@
         let mut claims = Vec::new();
         for members in &mut self.nodes {
             let term = members.own.term;
-            changes += usize::from(members.check(now));
-            members.claim_first(now);
+            changes += usize::from(members.on_tick(now));
+            members.claim_if_first(now);
             if members.own.term != term {
                 let beat = members.bare_heartbeat();
                 claims.extend(
@@ -55,7 +55,7 @@
                         .map(|ip| (ip, beat.clone())),
                 );
             }
-            let to = members.destinations();
+            let to = members.heartbeat_destinations();
             if to.is_empty() {
                 continue;
             }
@@ -66,7 +66,7 @@
             sent.extend(to.into_iter().map(|ip| (ip, beat.clone())));
         }
         for (to, beat) in claims.into_iter().chain(sent) {
-            if self.rng.random_bool(self.lost_share) {
+            if self.rng.random_bool(self.loss_rate) {
                 continue;
             }
             changes += usize::from(self.deliver(to, &beat));
@@ -78,29 +78,29 @@
     fn deliver(&mut self, to: Ipv4Addr, beat: &Heartbeat) -> bool {
         let members = &self.nodes[number(to) - 1];
         let is_new = !members.knows(beat.from.ip, beat.from.incarnation);
-        let mut changed = self.take(to, beat);
+        let mut changed = self.receive(to, beat);
         if is_new {
             let reply = self.nodes[number(to) - 1].heartbeat(self.now);
-            changed |= self.take(beat.from.ip, &reply);
+            changed |= self.receive(beat.from.ip, &reply);
         }
         changed
     }
 
     /// Brings a heartbeat to a host, which asks for what it does not know.
-    fn take(&mut self, to: Ipv4Addr, beat: &Heartbeat) -> bool {
+    fn receive(&mut self, to: Ipv4Addr, beat: &Heartbeat) -> bool {
         let now = self.now;
         let from = beat.from.ip;
         let members = &mut self.nodes[number(to) - 1];
         let mut changed = members.on_heartbeat(now, from, beat);
-        let unknown = members.unknown(beat);
+        let unknown = members.hosts_to_request(beat);
         let answer = self.nodes[number(from) - 1].states_of(now, &unknown);
-        let bytes = Datagram::Answer(answer.clone()).encode();
+        let bytes = Datagram::StateResponse(answer.clone()).encode();
         assert!(bytes.len() <= MAX_BYTES, "{} bytes", bytes.len());
-        changed |= self.nodes[number(to) - 1].on_answer(now, &answer);
+        changed |= self.nodes[number(to) - 1].on_states(now, &answer);
         changed
     }
 
-    pub(super) fn pass(&mut self, time: Duration) -> usize {
+    pub(super) fn advance(&mut self, time: Duration) -> usize {
         let rounds = time.as_millis() / TICK.as_millis();
         (0..rounds).map(|_| self.round()).sum()
     }
--- a/crates/azuresaddle-edge/src/control/tests/members.rs
+++ b/crates/azuresaddle-edge/src/control/tests/members.rs
@@ -59,41 +59,41 @@
 }
 
 /// Advances in ticks, as control does.
-pub(super) fn pass(members: &mut Members, from: Instant, time: Duration) -> Instant {
+pub(super) fn advance(members: &mut Members, from: Instant, time: Duration) -> Instant {
     let mut now = from;
     while now < from + time {
         now += TICK;
-        members.check(now);
+        members.on_tick(now);
     }
     now
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_oldest_places_streams_and_a_silent_one_is_passed_over() {
+async fn the_oldest_node_is_the_owner_until_it_falls_silent() {
     let start = Instant::now();
     let mut members = members(start, 3);
     assert!(members.on_heartbeat(start, ip(1), &beat(1, 1)));
     assert!(members.on_heartbeat(start, ip(2), &beat(2, 1)));
-    assert_eq!(members.live(start).1, 1000);
+    assert_eq!(members.live_nodes(start).1, 1000);
     let mut now = start;
     for counter in 2..8 {
-        now = pass(&mut members, now, TICK);
+        now = advance(&mut members, now, TICK);
         members.on_heartbeat(now, ip(2), &beat(2, counter));
     }
-    let (nodes, owner) = members.live(now);
+    let (nodes, owner) = members.live_nodes(now);
     assert_eq!((nodes.len(), owner), (2, 2000));
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_node_that_stops_gives_the_streams_away_at_once() {
+async fn a_stopping_owner_is_replaced_at_once() {
     let now = Instant::now();
     let mut members = members(now, 2);
     members.on_heartbeat(now, ip(1), &beat(1, 1));
-    assert_eq!(members.live(now).1, 1000);
+    assert_eq!(members.live_nodes(now).1, 1000);
     let mut leaving = beat(1, 2);
     leaving.from.is_leaving = true;
     assert!(members.on_heartbeat(now, ip(1), &leaving));
-    let (nodes, owner) = members.live(now);
+    let (nodes, owner) = members.live_nodes(now);
     assert_eq!(owner, 2000);
     assert!(
         nodes
@@ -103,18 +103,18 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_stall_of_this_process_makes_nobody_silent() {
+async fn a_stall_of_this_process_marks_no_node_as_failed() {
     let start = Instant::now();
     let mut members = members(start, 3);
     members.on_heartbeat(start, ip(1), &beat(1, 1));
     // Frozen for five seconds; the heartbeats of that time wait unread.
     let now = start + Duration::from_secs(5);
-    members.check(now);
-    assert_eq!(members.live(now).1, 1000);
+    members.on_tick(now);
+    assert_eq!(members.live_nodes(now).1, 1000);
 }
 
 #[tokio::test(start_paused = true)]
-async fn older_news_of_a_node_are_ignored() {
+async fn older_states_of_a_node_are_ignored() {
     let now = Instant::now();
     let mut members = members(now, 3);
     members.on_heartbeat(now, ip(1), &beat(1, 9));
@@ -126,12 +126,12 @@
         digests: Vec::new(),
     };
     members.on_heartbeat(now, ip(2), &told);
-    let (nodes, _) = members.live(now);
+    let (nodes, _) = members.live_nodes(now);
     assert!(nodes.iter().all(|n| n.takes_callers));
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_restarted_process_counts_even_with_its_clock_set_back() {
+async fn a_restarted_process_is_accepted_with_its_clock_set_back() {
     let now = Instant::now();
     let mut members = members(now, 3);
     members.on_heartbeat(now, ip(1), &beat(1, 90));
@@ -139,7 +139,13 @@
     again.from.incarnation = 77;
     again.from.started_ms = 5;
     assert!(members.on_heartbeat(now, ip(1), &again));
-    assert!(members.live(now).0.iter().any(|n| n.incarnation == 77));
+    assert!(
+        members
+            .live_nodes(now)
+            .0
+            .iter()
+            .any(|n| n.incarnation == 77)
+    );
 }
 
 #[tokio::test(start_paused = true)]
@@ -147,13 +153,13 @@
     let now = Instant::now();
     let mut members = members(now, 3);
     assert!(!members.on_heartbeat(now, ip(9), &beat(1, 1)));
-    assert_eq!(members.live(now).0.len(), 1);
+    assert_eq!(members.live_nodes(now).0.len(), 1);
 }
 
 /// Nodes that only heard heartbeat digests of an owner that had just read its configuration went on to
 /// take others for the owner for seconds.
 #[tokio::test(start_paused = true)]
-async fn news_that_come_after_a_later_digest_count() {
+async fn a_state_is_accepted_after_a_later_digest() {
     let now = Instant::now();
     let mut members = members(now, 3);
     let mut starting = beat(1, 1);
@@ -167,25 +173,25 @@
     // What this node passes on meanwhile is as old as what it knows.
     assert_eq!(members.heartbeat(now).digests, [digest(2, 1), stale]);
     // The digest tells that the node takes callers now, so it is asked for.
-    assert_eq!(members.unknown(&told), [ip(1)]);
-    assert!(members.on_answer(now, &[state(1, 6)]));
-    assert!(members.unknown(&told).is_empty());
-    assert_eq!(members.live(now).1, 1000);
+    assert_eq!(members.hosts_to_request(&told), [ip(1)]);
+    assert!(members.on_states(now, &[state(1, 6)]));
+    assert!(members.hosts_to_request(&told).is_empty());
+    assert_eq!(members.live_nodes(now).1, 1000);
 }
 
 /// A large fleet learns of every node by partners, with as many messages a node as a small one.
 #[tokio::test(start_paused = true)]
-async fn a_large_fleet_learns_of_all_by_a_few_partners() {
+async fn a_large_fleet_discovers_all_nodes_with_a_few_peers_per_round() {
     const NODES: u16 = 90;
     let mut fleet = Fleet::new(NODES);
-    fleet.pass(Duration::from_secs(6));
+    fleet.advance(Duration::from_secs(6));
     assert!(
         fleet.most_sent <= 4,
         "{} messages in one round",
         fleet.most_sent
     );
     for members in &fleet.nodes {
-        let (nodes, owner) = members.live(fleet.now);
+        let (nodes, owner) = members.live_nodes(fleet.now);
         assert_eq!((nodes.len(), owner), (usize::from(NODES), 1000));
     }
     let now = fleet.now;
@@ -198,49 +204,49 @@
 
 /// Nodes of a fleet of 300 missed each other 17 times a second, and each time published anew.
 #[tokio::test(start_paused = true)]
-async fn nobody_is_missed_in_a_fleet_of_300() {
+async fn no_node_is_marked_failed_in_a_fleet_of_300() {
     let mut fleet = Fleet::new(300);
-    fleet.pass(Duration::from_secs(5));
+    fleet.advance(Duration::from_secs(5));
     for members in &fleet.nodes {
-        assert_eq!(members.live(fleet.now).0.len(), 300);
+        assert_eq!(members.live_nodes(fleet.now).0.len(), 300);
     }
-    let changes = fleet.pass(Duration::from_secs(3));
+    let changes = fleet.advance(Duration::from_secs(3));
     assert!(changes < 20, "{changes} changes of mind in 3 s");
 }
 
 /// All processes of a large fleet start in one moment, so that their rounds of heartbeats come in step, and some
 /// datagrams are lost.
 #[tokio::test(start_paused = true)]
-async fn nobody_is_missed_in_a_fleet_that_starts_in_step() {
+async fn no_node_is_marked_failed_in_a_fleet_that_starts_in_step() {
     for nodes in [300, 420] {
         let mut fleet = Fleet::new(nodes);
-        fleet.lost_share = 0.01;
+        fleet.loss_rate = 0.01;
         for members in &mut fleet.nodes {
             members.update_own(|own| own.configuration = 0);
         }
-        fleet.pass(Duration::from_millis(600));
+        fleet.advance(Duration::from_millis(600));
         for members in &mut fleet.nodes {
             members.update_own(|own| own.configuration = 4);
         }
-        fleet.pass(Duration::from_secs(8));
-        let changes = fleet.pass(Duration::from_secs(5));
+        fleet.advance(Duration::from_secs(8));
+        let changes = fleet.advance(Duration::from_secs(5));
         assert!(changes < 20, "{nodes}: {changes} changes of mind in 5 s");
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_node_that_only_signs_tell_of_is_asked_for() {
+async fn a_node_known_only_by_digest_is_requested() {
     let now = Instant::now();
     let mut members = members(now, 3);
     let mut told = beat(1, 1);
     told.digests = vec![digest(9, 5), digest(3, 1)];
     members.on_heartbeat(now, ip(1), &told);
-    assert_eq!(members.unknown(&told), [ip(9)]);
-    assert!(members.on_answer(now, &[state(9, 5)]));
-    assert!(members.unknown(&told).is_empty());
+    assert_eq!(members.hosts_to_request(&told), [ip(9)]);
+    assert!(members.on_states(now, &[state(9, 5)]));
+    assert!(members.hosts_to_request(&told).is_empty());
     // A restarted one too.
     told.digests[0].process += 1;
-    assert_eq!(members.unknown(&told), [ip(9)]);
+    assert_eq!(members.hosts_to_request(&told), [ip(9)]);
 }
 
 /// A node that knows of 40 others none of which the store answers; its rank is that of its number.
@@ -261,7 +267,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn more_and_more_follow_the_store_where_the_few_are_not_answered() {
+async fn more_nodes_watch_the_store_when_few_get_answers() {
     let now = Instant::now();
     assert!(unwatched(now, 10).should_watch(now), "one of the next few");
     let mut last = unwatched(now, 60);
@@ -274,12 +280,12 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_store_that_is_down_is_asked_by_a_part_of_300() {
+async fn only_some_of_300_nodes_call_a_store_that_is_down() {
     let mut fleet = Fleet::new(300);
     for members in &mut fleet.nodes {
         members.update_own(|own| own.is_watching = false);
     }
-    fleet.pass(Duration::from_secs(5));
+    fleet.advance(Duration::from_secs(5));
     let now = fleet.now;
     let mut asking = |at| {
         let all = fleet.nodes.iter_mut();
@@ -292,7 +298,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_node_that_has_just_read_the_store_looks_for_other_watchers_first() {
+async fn a_node_that_has_just_started_delays_its_watch() {
     let now = Instant::now();
     let mut members = members(now, 3);
     members.started_at = now;
@@ -302,26 +308,23 @@
 
 /// Bytes between failure domains are dear, so most partners are of the own one; states still reach all.
 #[tokio::test(start_paused = true)]
-async fn three_of_four_partners_are_of_the_own_failure_domain() {
+async fn three_of_four_peers_are_in_the_same_failure_domain() {
     let mut fleet = Fleet::new(100);
-    fleet.pass(Duration::from_secs(4));
+    fleet.advance(Duration::from_secs(4));
     for members in &mut fleet.nodes {
         let domain = members.own.domain;
-        let partners = members.partners();
+        let peers = members.gossip_peers();
         let is_near = |ip: &&Ipv4Addr| number(**ip) as u16 % 5 == domain;
-        assert_eq!(
-            (partners.len(), partners.iter().filter(is_near).count()),
-            (4, 3)
-        );
+        assert_eq!((peers.len(), peers.iter().filter(is_near).count()), (4, 3));
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_node_without_others_in_its_domain_has_partners_elsewhere() {
+async fn a_node_alone_in_its_domain_chooses_peers_elsewhere() {
     let now = Instant::now();
     let mut members = members(now, 5);
     for n in (1..60).filter(|n| n % 5 != 0) {
         members.on_heartbeat(now, ip(n), &beat(n, 1));
     }
-    assert_eq!(members.partners().len(), 4);
+    assert_eq!(members.gossip_peers().len(), 4);
 }
--- a/crates/azuresaddle-edge/src/control/tests/mod.rs
+++ b/crates/azuresaddle-edge/src/control/tests/mod.rs
@@ -1,11 +1,11 @@
 //! Tests of what control believes.
 
-mod crash_spread;
+mod crash_gossip;
+mod failover;
 mod fleet;
 mod members;
 mod registry;
 mod signals;
 mod store_model;
-mod store_return;
-mod succession;
+mod store_rollback;
 mod target_record;
--- a/crates/azuresaddle-edge/src/control/tests/registry.rs
+++ b/crates/azuresaddle-edge/src/control/tests/registry.rs
@@ -63,7 +63,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn older_news_never_bring_a_target_back() {
+async fn older_changes_never_restore_a_target() {
     let now = Instant::now();
     let mut registry = Registry::default();
     registry.apply(now, item("a", "ready", 1));
@@ -74,19 +74,19 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_lapse_of_an_outage_is_believed_only_after_the_grace() {
+async fn a_removal_after_an_outage_takes_effect_after_the_grace_period() {
     let start = Instant::now();
     let mut registry = Registry::default();
     registry.apply(start, item("a", "ready", 1));
     registry.apply(start, item("b", "ready", 2));
-    registry.on_store_back(start);
+    registry.on_store_reconnected(start);
     assert!(!registry.apply(start, removed("a", 8)));
     assert!(!registry.apply(start, removed("b", 9)));
     assert_eq!(ids(&registry), ["a", "b"]);
     // One of them registers again.
     registry.apply(start, item("a", "ready", 12));
     let later = start + Duration::from_millis(2300);
-    assert!(registry.check(later));
+    assert!(registry.expire_removals(later));
     assert_eq!(ids(&registry), ["a"]);
     // The other nodes learn of the removal with its own revision.
     let records = registry.published().records;
@@ -96,12 +96,12 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_is_removed_after_the_changes_of_an_outage_are_known_has_left() {
+async fn a_removal_after_catching_up_takes_effect_at_once() {
     let start = Instant::now();
     let mut registry = Registry::default();
     registry.apply(start, item("a", "ready", 1));
     registry.apply(start, item("b", "ready", 2));
-    registry.on_store_back(start);
+    registry.on_store_reconnected(start);
     assert!(
         !registry.apply(start, removed("a", 8)),
         "it may have lapsed"
@@ -111,12 +111,12 @@
     assert!(registry.apply(later, removed("b", 9)));
     assert_eq!(ids(&registry), ["a"]);
     // What may have lapsed still has its time.
-    assert!(!registry.check(start + Duration::from_millis(2100)));
-    assert!(registry.check(start + Duration::from_millis(2300)));
+    assert!(!registry.expire_removals(start + Duration::from_millis(2100)));
+    assert!(registry.expire_removals(start + Duration::from_millis(2300)));
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_listing_removes_what_it_lacks() {
+async fn a_listing_removes_missing_entries() {
     let now = Instant::now();
     let mut registry = Registry::default();
     registry.apply(now, item("a", "ready", 1));
@@ -127,7 +127,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_unreadable_entry_names_no_target_until_the_target_writes_again() {
+async fn an_unreadable_entry_hides_its_target_until_it_is_rewritten() {
     let now = Instant::now();
     let mut registry = Registry::default();
     registry.apply(now, item("a", "ready", 1));
@@ -141,7 +141,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn news_of_an_earlier_start_are_not_believed() {
+async fn entries_of_an_earlier_start_are_ignored() {
     let now = Instant::now();
     let mut registry = Registry::default();
     registry.apply(now, item_of("a", "ready", 1, 1_000, 40));
@@ -157,7 +157,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_entry_that_was_written_earlier_is_not_believed() {
+async fn an_entry_with_a_lower_sequence_is_ignored() {
     let now = Instant::now();
     let mut registry = Registry::default();
     registry.apply(now, item_of("a", "ready", 1, 1_000, 7));
@@ -169,7 +169,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_restart_is_told_to_other_parts_and_nodes() {
+async fn a_restart_changes_the_published_targets_and_their_hash() {
     let now = Instant::now();
     let mut one = Registry::default();
     one.apply(now, item_of("a", "ready", 1, 1_000, 1));
@@ -218,7 +218,7 @@
 proptest! {
     /// Whatever others write, under any key, the targets' own entries hold and nothing else is named.
     #[test]
-    fn entries_of_other_writers_name_no_target_and_hide_none(
+    fn foreign_entries_neither_add_nor_hide_targets(
         writes in proptest::collection::vec(("[ -~]{0,20}", foreign_value()), 1..20),
     ) {
         let now = Instant::now();
@@ -237,7 +237,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_hash_tells_different_targets_apart() {
+async fn the_hash_differs_for_different_targets() {
     let now = Instant::now();
     let mut one = Registry::default();
     let mut other = Registry::default();
@@ -255,12 +255,12 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_is_published_is_built_anew_only_after_a_change() {
+async fn published_targets_are_rebuilt_only_after_a_change() {
     let now = Instant::now();
     let mut registry = Registry::default();
     registry.apply(now, item("a", "ready", 1));
     let first = registry.published();
-    registry.check(now);
+    registry.expire_removals(now);
     registry.apply(now, item("a", "ready", 1));
     assert!(std::sync::Arc::ptr_eq(
         &first.targets,
@@ -275,7 +275,7 @@
 
 /// A target's answers say that it drains while the store still holds it as ready.
 #[tokio::test(start_paused = true)]
-async fn a_target_that_drains_by_its_own_answer_gets_no_new_work_whatever_its_entry_says() {
+async fn a_draining_signal_overrides_a_ready_entry() {
     let now = Instant::now();
     let mut registry = Registry::default();
     registry.apply(now, item("a", "ready", 1));
--- a/crates/azuresaddle-edge/src/control/tests/signals.rs
+++ b/crates/azuresaddle-edge/src/control/tests/signals.rs
@@ -13,7 +13,7 @@
 use crate::control::heartbeat::{Datagram, MAX_BYTES};
 use crate::control::members::TICK;
 use crate::control::signal_records::{SignalChange, SignalRecords};
-use crate::control::signals::{MAX_SIGNALS, SignalSpread};
+use crate::control::signals::{MAX_SIGNALS, SignalGossip};
 use crate::signals::{ObservedSignals, SignalUpdate};
 
 const BORN: TargetStart = TargetStart(1000);
@@ -27,7 +27,7 @@
 }
 
 /// An answer to a request that was sent 100 ms before.
-fn heard(at: Instant, rate_limit: Option<RateLimit>) -> ObservedSignals {
+fn observed(at: Instant, rate_limit: Option<RateLimit>) -> ObservedSignals {
     ObservedSignals {
         target: target(),
         started: BORN,
@@ -50,44 +50,44 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_answer_to_a_later_request_ends_a_limit() {
+async fn an_answer_to_a_later_request_lifts_a_limit() {
     let mut records = SignalRecords::default();
     assert_eq!(
-        records.on_observed(&heard(later(0), limit(1.9))),
+        records.on_observed(&observed(later(0), limit(1.9))),
         limited(1.9)
     );
-    assert_eq!(records.on_observed(&heard(later(10), limit(1.9))), []);
+    assert_eq!(records.on_observed(&observed(later(10), limit(1.9))), []);
     // The request of this one was sent before the limit was heard of.
-    assert_eq!(records.on_observed(&heard(later(50), None)), []);
-    let ended = records.on_observed(&heard(later(300), None));
+    assert_eq!(records.on_observed(&observed(later(50), None)), []);
+    let ended = records.on_observed(&observed(later(300), None));
     assert_eq!(ended, [SignalChange::Unlimited]);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_failure_without_a_limit_ends_none() {
+async fn a_failure_without_a_limit_lifts_none() {
     let mut records = SignalRecords::default();
-    records.on_observed(&heard(later(0), limit(1.9)));
+    records.on_observed(&observed(later(0), limit(1.9)));
     let failed = ObservedSignals {
         is_served: false,
-        ..heard(later(500), None)
+        ..observed(later(500), None)
     };
     assert_eq!(records.on_observed(&failed), []);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_later_start_has_said_nothing_and_an_earlier_one_nothing_any_more() {
+async fn a_later_start_replaces_the_signals_of_an_earlier_one() {
     let mut records = SignalRecords::default();
-    records.on_observed(&heard(later(0), limit(1.9)));
+    records.on_observed(&observed(later(0), limit(1.9)));
     let restarted = ObservedSignals {
         started: TargetStart(2000),
-        ..heard(later(100), limit(7.0))
+        ..observed(later(100), limit(7.0))
     };
     assert_eq!(records.on_observed(&restarted), limited(7.0));
-    assert_eq!(records.on_observed(&heard(later(200), limit(1.9))), []);
+    assert_eq!(records.on_observed(&observed(later(200), limit(1.9))), []);
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_was_heard_last_counts_in_whichever_order_it_is_told() {
+async fn the_latest_announcement_wins_in_any_order() {
     let now = later(0);
     let told = |rate: Option<RateLimit>, age_ms| SignalUpdate {
         target: target(),
@@ -105,17 +105,17 @@
 }
 
 /// A target names its limit to one node; rounds until all nodes know.
-fn rounds_until_known(nodes: u16, lost_share: f64) -> u32 {
+fn rounds_until_known(nodes: u16, loss_rate: f64) -> u32 {
     let mut fleet = Fleet::new(nodes);
-    fleet.pass(Duration::from_secs(4));
+    fleet.advance(Duration::from_secs(4));
     let mut rng = SmallRng::seed_from_u64(u64::from(nodes));
-    let mut all: Vec<(SignalRecords, SignalSpread)> =
+    let mut all: Vec<(SignalRecords, SignalGossip)> =
         (0..nodes).map(|_| Default::default()).collect();
-    all[0].0.on_observed(&heard(fleet.now, limit(1.9)));
+    all[0].0.on_observed(&observed(fleet.now, limit(1.9)));
     all[0].1.push(target());
     for round in 0..1000 {
         let knows = |records: &SignalRecords| {
-            let update = records.update_of(fleet.now, &target());
+            let update = records.update_for(fleet.now, &target());
             update.is_some_and(|u| u.rate_limit == limit(1.9))
         };
         if all.iter().all(|(records, _)| knows(records)) {
@@ -127,19 +127,19 @@
             let targets = spread.next_round();
             let Some(update) = targets
                 .first()
-                .and_then(|t| records.update_of(fleet.now, t))
+                .and_then(|t| records.update_for(fleet.now, t))
             else {
                 continue;
             };
             let to = if members.is_mesh() {
                 members.alive_hosts(fleet.now)
             } else {
-                members.partners()
+                members.gossip_peers()
             };
             sent.extend(to.into_iter().map(|ip| (ip, update.clone())));
         }
         for (ip, update) in sent {
-            if rng.random_bool(lost_share) {
+            if rng.random_bool(loss_rate) {
                 continue;
             }
             let (records, spread) = &mut all[number(ip) - 1];
@@ -153,7 +153,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn all_nodes_know_a_limit_within_three_seconds_although_datagrams_are_lost() {
+async fn all_nodes_know_a_limit_within_three_seconds_despite_datagram_loss() {
     for nodes in [3, 7, 66, 300] {
         let rounds = rounds_until_known(nodes, 0.1);
         assert!(
--- a/crates/azuresaddle-edge/src/control/tests/store_model/event.rs
+++ b/crates/azuresaddle-edge/src/control/tests/store_model/event.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Event {
     /// A target writes its entry.
-    Beat(usize),
+    Write(usize),
     /// A target tells that it leaves.
     Drain(usize),
     /// A target has left, and its entry is removed.
@@ -20,30 +20,30 @@
     /// The store answers nobody for some steps; entries may lapse.
     Outage { steps: u64, lapses: bool },
     /// The store comes back from the copy before its last changes.
-    GoBack(usize),
+    RollBack(usize),
     /// The store forgets its history.
     Compact,
     /// One node does not reach the store for some steps.
-    Cut { node: usize, steps: u64 },
+    Disconnect { node: usize, steps: u64 },
     /// A node starts anew.
     Restart(usize),
     /// Nothing.
-    Pass(u64),
+    Wait(u64),
 }
 
 pub(super) fn event() -> impl Strategy<Value = Event> {
     let target = 0..TARGETS;
     prop_oneof![
-        3 => target.clone().prop_map(Event::Beat),
+        3 => target.clone().prop_map(Event::Write),
         3 => target.clone().prop_map(Event::Drain),
         2 => target.clone().prop_map(Event::Leave),
         3 => target.prop_map(Event::Start),
         2 => Just(Event::Configure),
         2 => (1..15_u64, any::<bool>()).prop_map(|(steps, lapses)| Event::Outage { steps, lapses }),
-        3 => (0..8_usize).prop_map(Event::GoBack),
+        3 => (0..8_usize).prop_map(Event::RollBack),
         1 => Just(Event::Compact),
-        2 => (0..NODES, 1..30_u64).prop_map(|(node, steps)| Event::Cut { node, steps }),
+        2 => (0..NODES, 1..30_u64).prop_map(|(node, steps)| Event::Disconnect { node, steps }),
         2 => (0..NODES).prop_map(Event::Restart),
-        4 => (1..15_u64).prop_map(Event::Pass),
+        4 => (1..15_u64).prop_map(Event::Wait),
     ]
 }
--- a/crates/azuresaddle-edge/src/control/tests/store_model/mod.rs
+++ b/crates/azuresaddle-edge/src/control/tests/store_model/mod.rs
@@ -22,14 +22,14 @@
 pub(super) const STEP: Duration = Duration::from_millis(100);
 
 /// Steps within which what the store has lost is written again.
-pub(super) const WRITTEN_AGAIN: u64 = 19;
+pub(super) const REWRITE_STEPS: u64 = 19;
 
 /// Steps for which an entry that the store has lost is believed.
-pub(super) const GRACE: u64 = 22;
+pub(super) const GRACE_STEPS: u64 = 22;
 
 /// Steps after which all nodes see what the store holds, once nothing is written any more and no entry is believed
 /// for its grace.
-pub(super) const QUIET: u64 = 20;
+pub(super) const CONVERGENCE_STEPS: u64 = 20;
 
 /// Targets.
 pub(super) const TARGETS: usize = 4;
@@ -53,9 +53,9 @@
 
 fn run(seed: u64, events: &[Event], without: Without) -> Result<(), String> {
     let mut world = World::new(seed, without, SMALL);
-    world.pass(5)?;
+    world.advance(5)?;
     for event in events {
-        world.take(*event)?;
+        world.apply(*event)?;
     }
     world.settle()
 }
@@ -78,7 +78,7 @@
 
 /// More series by hand: `AZURESADDLE_SERIES=N`.
 #[test]
-fn all_nodes_see_what_the_store_holds_and_none_goes_back() {
+fn all_nodes_converge_to_the_store_and_none_regresses() {
     let asked = std::env::var("AZURESADDLE_SERIES").ok();
     let cases = asked.and_then(|n| n.parse().ok()).unwrap_or(SERIES);
     let result = runner(cases).run(&series(), |(seed, events)| {
@@ -97,18 +97,18 @@
         lapses: true,
     };
     let mut events = vec![
-        Event::Pass(3),
-        Event::Beat(0),
-        Event::GoBack(3),
-        Event::Beat(0),
+        Event::Wait(3),
+        Event::Write(0),
+        Event::RollBack(3),
+        Event::Write(0),
         Event::Drain(0),
         Event::Restart(0),
         Event::Leave(3),
-        Event::Beat(0),
+        Event::Write(0),
         outage,
     ];
-    events.extend([Event::Beat(0); 5]);
-    events.extend([Event::Configure, Event::Beat(0), Event::Restart(1)]);
+    events.extend([Event::Write(0); 5]);
+    events.extend([Event::Configure, Event::Write(0), Event::Restart(1)]);
     assert_eq!(
         run(6_701_426_987_596_928_744, &events, Without::Nothing),
         Ok(())
@@ -117,18 +117,18 @@
 
 /// The store goes back twice in a row before a large fleet, of which four nodes follow it and some start meanwhile.
 #[test]
-fn three_hundred_nodes_end_at_the_same_targets_without_a_storm() {
+fn three_hundred_nodes_converge_without_a_fetch_storm() {
     let sizes = Sizes {
         nodes: 300,
         watchers: 4,
     };
     let mut world = World::new(1, Without::Nothing, sizes);
-    let mut events = vec![Event::Pass(30), Event::Drain(0), Event::Leave(1)];
-    events.extend([Event::Configure, Event::Start(2), Event::GoBack(4)]);
-    events.extend([Event::Pass(5), Event::Drain(3), Event::GoBack(3)]);
+    let mut events = vec![Event::Wait(30), Event::Drain(0), Event::Leave(1)];
+    events.extend([Event::Configure, Event::Start(2), Event::RollBack(4)]);
+    events.extend([Event::Wait(5), Event::Drain(3), Event::RollBack(3)]);
     events.extend((100..110).map(Event::Restart));
     for event in &events {
-        assert_eq!(world.take(*event), Ok(()));
+        assert_eq!(world.apply(*event), Ok(()));
     }
     assert_eq!(world.settle(), Ok(()));
     // One fetch of everything at its start, and one for each time that the store went back.
--- a/crates/azuresaddle-edge/src/control/tests/store_model/node.rs
+++ b/crates/azuresaddle-edge/src/control/tests/store_model/node.rs
@@ -21,12 +21,12 @@
     pub(super) gate: StartGate,
     pub(super) configuration: u64,
     /// The latest configuration that it has read, in force or not.
-    pub(super) read: u64,
+    pub(super) latest_read_version: u64,
     pub(super) started_at: Instant,
     /// Position up to which it has followed the store.
-    pub(super) followed: Option<StorePosition>,
+    pub(super) read_up_to: Option<StorePosition>,
     pub(super) is_lost: bool,
-    pub(super) cut_until: u64,
+    pub(super) disconnected_until: u64,
     /// Starts of targets that it knows to drain.
     pub(super) drained: BTreeSet<(String, u64)>,
     /// Since when it differs from a node that has heard of the same changes.
@@ -41,11 +41,11 @@
             registry: Registry::default(),
             gate: StartGate::default(),
             configuration: 0,
-            read: 0,
+            latest_read_version: 0,
             started_at: now,
-            followed: None,
+            read_up_to: None,
             is_lost: false,
-            cut_until: 0,
+            disconnected_until: 0,
             drained: BTreeSet::new(),
             differs_since: None,
             fetches: (0, 0),
--- a/crates/azuresaddle-edge/src/control/tests/store_model/nodes.rs
+++ b/crates/azuresaddle-edge/src/control/tests/store_model/nodes.rs
@@ -7,16 +7,16 @@
 use rand::Rng;
 
 use super::world::World;
-use super::{GRACE, QUIET, TARGETS};
+use super::{CONVERGENCE_STEPS, GRACE_STEPS, TARGETS};
 use crate::control::start_gate::PeerView;
 
 impl World {
     /// One call of a node to the store.
-    pub(super) fn follow(&mut self, n: usize) {
+    pub(super) fn poll_store(&mut self, n: usize) {
         let now = self.now();
         let is_answered =
-            self.store.down_until <= self.step && self.nodes[n].cut_until <= self.step;
-        let is_watching = n < self.sizes.watchers || self.nodes[n].followed.is_none();
+            self.store.down_until <= self.step && self.nodes[n].disconnected_until <= self.step;
+        let is_watching = n < self.sizes.watchers || self.nodes[n].read_up_to.is_none();
         if !is_answered {
             self.nodes[n].is_lost = true;
             return;
@@ -26,12 +26,12 @@
             return;
         }
         let at = self.position(self.store.revision);
-        let changes = self.changes_after(self.nodes[n].followed);
+        let changes = self.changes_after(self.nodes[n].read_up_to);
         let listing: Vec<Item> = self.listing();
         let node = &mut self.nodes[n];
         node.registry.on_era(now, at.era);
         if std::mem::take(&mut node.is_lost) {
-            node.registry.on_store_back(now);
+            node.registry.on_store_reconnected(now);
         }
         let items = match &changes {
             Some(items) => items.clone(),
@@ -39,7 +39,7 @@
         };
         for item in items.iter().filter(|i| i.key == "op/config") {
             let version = item.value.as_deref().map(number_in).unwrap_or(0);
-            node.read = node.read.max(version);
+            node.latest_read_version = node.latest_read_version.max(version);
         }
         let targets = items.into_iter().filter(|i| i.key != "op/config");
         match changes {
@@ -47,14 +47,14 @@
                 for item in targets {
                     node.registry.apply(now, item);
                 }
-                node.registry.on_followed(at);
+                node.registry.on_read_up_to(at);
             }
             None => {
                 node.registry.apply_listing(now, targets.collect(), at);
             }
         }
         node.registry.on_caught_up();
-        node.followed = Some(at);
+        node.read_up_to = Some(at);
     }
 
     /// What a watch from a position tells; `None` where all has to be read anew.
@@ -85,7 +85,7 @@
     }
 
     /// A node asks another one for what it lacks.
-    pub(super) fn gossip(&mut self, n: usize) {
+    pub(super) fn fetch_from_peer(&mut self, n: usize) {
         let nodes = self.sizes.nodes;
         let other = (n + 1 + self.rng.random_range(0..nodes - 1)) % nodes;
         let now = self.now();
@@ -114,7 +114,7 @@
         }
         let records = told.records.iter();
         for record in records.filter(|r| after.is_none_or(|after| r.position() > after)) {
-            node.registry.apply_update(now, record.update());
+            node.registry.apply_update(now, record.to_update());
         }
         node.registry.on_synced(position);
         let (read, drained) = (
@@ -122,7 +122,7 @@
             self.nodes[other].drained.clone(),
         );
         let node = &mut self.nodes[n];
-        node.read = node.read.max(read);
+        node.latest_read_version = node.latest_read_version.max(read);
         if after.is_none() {
             node.gate.is_synced = true;
             node.drained.extend(drained);
@@ -130,13 +130,13 @@
     }
 
     pub(super) fn is_settled(&self, n: usize) -> bool {
-        let began_at = self.nodes[n].gate.began_at;
-        let served = began_at.map(|at| self.now().saturating_duration_since(at));
+        let serving_since = self.nodes[n].gate.serving_since;
+        let served = serving_since.map(|at| self.now().saturating_duration_since(at));
         served >= Some(Duration::from_secs(3))
     }
 
     /// Puts the latest configuration in force that a node has read.
-    pub(super) fn begin(&mut self, n: usize) -> Result<(), String> {
+    pub(super) fn apply_configuration(&mut self, n: usize) -> Result<(), String> {
         let others = || (0..self.nodes.len()).filter(|m| *m != n);
         let newest = others().map(|m| self.nodes[m].configuration).max();
         let newest = newest.unwrap_or(0);
@@ -148,12 +148,13 @@
         let age = now.saturating_duration_since(self.nodes[n].started_at);
         let node = &mut self.nodes[n];
         let is_first = node.configuration == 0;
-        if node.read <= node.configuration || (is_first && !node.gate.admits(age, view, node.read))
+        if node.latest_read_version <= node.configuration
+            || (is_first && !node.gate.admits(age, view, node.latest_read_version))
         {
             return Ok(());
         }
-        node.configuration = node.read;
-        node.gate.began_at.get_or_insert(now);
+        node.configuration = node.latest_read_version;
+        node.gate.serving_since.get_or_insert(now);
         if is_first && node.configuration < newest {
             return Err(format!("node {n} begins with an older configuration"));
         }
@@ -186,13 +187,13 @@
 
     /// Nothing more is written; all nodes see what the store holds.
     pub(super) fn settle(&mut self) -> Result<(), String> {
-        while !self.due.is_empty() || self.store.down_until > self.step {
-            self.pass(1)?;
+        while !self.pending_writes.is_empty() || self.store.down_until > self.step {
+            self.advance(1)?;
         }
         for node in &mut self.nodes {
-            node.cut_until = 0;
+            node.disconnected_until = 0;
         }
-        self.pass(GRACE + QUIET)?;
+        self.advance(GRACE_STEPS + CONVERGENCE_STEPS)?;
         let ready: Vec<(String, u64)> = (0..TARGETS)
             .filter(|t| self.targets[*t].state == Some("ready"))
             .map(|t| (format!("t{t}"), self.targets[t].born))
--- a/crates/azuresaddle-edge/src/control/tests/store_model/store.rs
+++ b/crates/azuresaddle-edge/src/control/tests/store_model/store.rs
@@ -32,7 +32,7 @@
         self.history.push((key.to_owned(), value, revision));
     }
 
-    pub(super) fn go_back(&mut self, changes: usize) {
+    pub(super) fn roll_back(&mut self, changes: usize) {
         let kept = self.copies.len().saturating_sub(changes);
         if let Some((values, revision)) = self.copies.get(kept).cloned() {
             self.values = values;
--- a/crates/azuresaddle-edge/src/control/tests/store_model/world.rs
+++ b/crates/azuresaddle-edge/src/control/tests/store_model/world.rs
@@ -10,7 +10,7 @@
 use super::event::Event;
 use super::node::{Node, Target, Without};
 use super::store::Store;
-use super::{STEP, Sizes, TARGETS, WRITTEN_AGAIN};
+use super::{REWRITE_STEPS, STEP, Sizes, TARGETS};
 use crate::control::tests::registry::item_of;
 
 pub(super) struct World {
@@ -18,7 +18,7 @@
     pub(super) targets: Vec<Target>,
     pub(super) version: u64,
     /// Keys that their writers write again, and at which step.
-    pub(super) due: Vec<(u64, String)>,
+    pub(super) pending_writes: Vec<(u64, String)>,
     pub(super) nodes: Vec<Node>,
     pub(super) start: Instant,
     pub(super) step: u64,
@@ -48,7 +48,7 @@
             store,
             targets: vec![target; TARGETS],
             version: 1,
-            due: Vec::new(),
+            pending_writes: Vec::new(),
             nodes: (0..sizes.nodes).map(|_| Node::new(start)).collect(),
             start,
             step: 0,
@@ -72,7 +72,7 @@
     }
 
     /// What a key should hold by its writer's word.
-    pub(super) fn meant(&self, key: &str) -> Option<Vec<u8>> {
+    pub(super) fn intended_value(&self, key: &str) -> Option<Vec<u8>> {
         let Some(name) = key.strip_prefix("servers/") else {
             return Some(self.version.to_string().into_bytes());
         };
@@ -89,30 +89,31 @@
         if let Some(n) = key.strip_prefix("servers/t") {
             self.targets[n.parse::<usize>().expect("a number")].number += 1;
         }
-        let value = self.meant(key);
+        let value = self.intended_value(key);
         self.store.write(key, value);
     }
 
     /// Writes a key now, or once the store is back.
     pub(super) fn write(&mut self, key: String) {
         if self.store.down_until > self.step {
-            let late = self.rng.random_range(1..WRITTEN_AGAIN);
-            self.due.push((self.store.down_until + late, key));
+            let late = self.rng.random_range(1..REWRITE_STEPS);
+            self.pending_writes
+                .push((self.store.down_until + late, key));
         } else {
             self.write_now(&key);
         }
     }
 
-    pub(super) fn write_all_again(&mut self, from: u64) {
+    pub(super) fn schedule_rewrites(&mut self, from: u64) {
         for key in self.keys() {
-            let late = self.rng.random_range(1..WRITTEN_AGAIN);
-            self.due.push((from + late, key));
+            let late = self.rng.random_range(1..REWRITE_STEPS);
+            self.pending_writes.push((from + late, key));
         }
     }
 
-    pub(super) fn take(&mut self, event: Event) -> Result<(), String> {
+    pub(super) fn apply(&mut self, event: Event) -> Result<(), String> {
         match event {
-            Event::Beat(t) if self.targets[t].state.is_some() => {
+            Event::Write(t) if self.targets[t].state.is_some() => {
                 self.write(format!("servers/t{t}"));
             }
             Event::Drain(t) if self.targets[t].state.is_some() => {
@@ -129,7 +130,7 @@
                 self.targets[t].state = Some("ready");
                 self.write(format!("servers/t{t}"));
             }
-            Event::Beat(_) | Event::Drain(_) => {}
+            Event::Write(_) | Event::Drain(_) => {}
             Event::Configure => {
                 self.version += 1;
                 self.write("op/config".to_owned());
@@ -142,49 +143,54 @@
                             self.store.write(&key, None);
                         }
                     }
-                    self.write_all_again(self.step + steps);
+                    self.schedule_rewrites(self.step + steps);
                 }
-                return self.pass(steps);
+                return self.advance(steps);
             }
-            Event::GoBack(changes) => {
+            Event::RollBack(changes) => {
                 let away = self.rng.random_range(0..8);
                 self.store.down_until = self.step + away;
-                self.pass(away)?;
-                self.store.go_back(changes);
-                self.write_all_again(self.step);
+                self.advance(away)?;
+                self.store.roll_back(changes);
+                self.schedule_rewrites(self.step);
             }
             Event::Compact => {
                 self.store.compacted = self.store.revision;
                 self.store.history.clear();
             }
-            Event::Cut { node, steps } => self.nodes[node].cut_until = self.step + steps,
+            Event::Disconnect { node, steps } => {
+                self.nodes[node].disconnected_until = self.step + steps;
+            }
             Event::Restart(n) => self.nodes[n] = Node::new(self.now()),
-            Event::Pass(steps) => return self.pass(steps),
+            Event::Wait(steps) => return self.advance(steps),
         }
-        self.pass(1)
+        self.advance(1)
     }
 
-    pub(super) fn pass(&mut self, steps: u64) -> Result<(), String> {
+    pub(super) fn advance(&mut self, steps: u64) -> Result<(), String> {
         (0..steps).try_for_each(|_| self.one_step())
     }
 
     pub(super) fn one_step(&mut self) -> Result<(), String> {
         self.step += 1;
         let step = self.step;
-        let (due, later) = self.due.drain(..).partition(|(at, _)| *at <= step);
-        self.due = later;
+        let (due, later) = self
+            .pending_writes
+            .drain(..)
+            .partition(|(at, _)| *at <= step);
+        self.pending_writes = later;
         let due: Vec<(u64, String)> = due;
         for (_, key) in due {
             self.write(key);
         }
         for n in 0..self.sizes.nodes {
-            self.follow(n);
+            self.poll_store(n);
             let now = self.now();
-            self.nodes[n].registry.check(now);
+            self.nodes[n].registry.expire_removals(now);
         }
         for n in 0..self.sizes.nodes {
-            self.gossip(n);
-            self.begin(n)?;
+            self.fetch_from_peer(n);
+            self.apply_configuration(n)?;
         }
         self.check()
     }
--- a/crates/azuresaddle-edge/src/control/tests/store_return.rs
+++ b/crates/azuresaddle-edge/src/control/tests/store_rollback.rs
@@ -9,7 +9,7 @@
 use crate::control::registry::Registry;
 
 /// The same change in the copy that the store went back to.
-fn again(item: Item, revision: u64) -> Item {
+fn after_rollback(item: Item, revision: u64) -> Item {
     Item {
         position: StorePosition::new(StoreEra(2), revision),
         ..item
@@ -17,7 +17,7 @@
 }
 
 /// A registry that knows three targets and is in the first copy of the store.
-fn three(now: Instant) -> Registry {
+fn registry_with_three_targets(now: Instant) -> Registry {
     let mut registry = Registry::default();
     let all = ["a", "b", "c"];
     let items = all.iter().zip(101..).map(|(id, n)| item(id, "ready", n));
@@ -27,44 +27,49 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_entry_that_is_written_again_with_a_lower_revision_is_believed() {
+async fn an_entry_rewritten_with_a_lower_revision_is_accepted() {
     let now = Instant::now();
-    let mut registry = three(now);
-    let listing = ["a", "b", "c"].map(|id| again(item(id, "ready", 1), 1));
+    let mut registry = registry_with_three_targets(now);
+    let listing = ["a", "b", "c"].map(|id| after_rollback(item(id, "ready", 1), 1));
     registry.on_era(now, StoreEra(2));
     assert!(!registry.apply_listing(now, listing.into(), StorePosition::new(StoreEra(2), 9)));
     assert_eq!(ids(&registry), ["a", "b", "c"]);
-    assert!(registry.apply(now, again(item("b", "draining", 200), 10)));
+    assert!(registry.apply(now, after_rollback(item("b", "draining", 200), 10)));
     assert_eq!(ids(&registry), ["a", "c"]);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_copy_brings_back_no_target_that_drained_or_left() {
+async fn a_rollback_restores_no_target_that_drained_or_left() {
     let now = Instant::now();
-    let mut registry = three(now);
+    let mut registry = registry_with_three_targets(now);
     registry.apply(now, item("a", "draining", 111));
     registry.apply(now, removed("b", 112));
     registry.on_era(now, StoreEra(2));
-    let listing = [("a", 1), ("b", 102), ("c", 3)].map(|(id, n)| again(item(id, "ready", n), n));
+    let listing =
+        [("a", 1), ("b", 102), ("c", 3)].map(|(id, n)| after_rollback(item(id, "ready", n), n));
     registry.apply_listing(now, listing.into(), StorePosition::new(StoreEra(2), 103));
     assert_eq!(ids(&registry), ["c"]);
     // It registers again, with an entry that the copy can't hold.
-    assert!(registry.apply(now, again(item("b", "ready", 113), 104)));
+    assert!(registry.apply(now, after_rollback(item("b", "ready", 113), 104)));
     assert_eq!(ids(&registry), ["b", "c"]);
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_the_copy_lacks_is_believed_for_the_grace_and_then_gone() {
+async fn entries_lost_in_a_rollback_are_kept_for_the_grace_period() {
     let start = Instant::now();
-    let mut registry = three(start);
+    let mut registry = registry_with_three_targets(start);
     registry.on_era(start, StoreEra(2));
     let first = StorePosition::new(StoreEra(2), 50);
-    registry.apply_listing(start, vec![again(item("a", "ready", 101), 40)], first);
+    registry.apply_listing(
+        start,
+        vec![after_rollback(item("a", "ready", 101), 40)],
+        first,
+    );
     registry.on_caught_up();
     assert_eq!(ids(&registry), ["a", "b", "c"]);
-    assert!(!registry.apply(start, again(item("b", "ready", 120), 51)));
+    assert!(!registry.apply(start, after_rollback(item("b", "ready", 120), 51)));
     let later = start + Duration::from_millis(2300);
-    assert!(registry.check(later));
+    assert!(registry.expire_removals(later));
     assert_eq!(ids(&registry), ["a", "b"]);
     // Other nodes take the removal for later than what they know.
     let records = registry.published().records;
@@ -73,52 +78,52 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_copy_of_a_copy_starts_the_grace_anew() {
+async fn a_second_rollback_restarts_the_grace_period() {
     let start = Instant::now();
-    let mut registry = three(start);
+    let mut registry = registry_with_three_targets(start);
     for era in [2, 3] {
         let now = start + Duration::from_secs(era - 2);
         registry.on_era(now, StoreEra(era));
         let position = StorePosition::new(StoreEra(era), 10);
         registry.apply_listing(now, Vec::new(), position);
     }
-    assert!(!registry.check(start + Duration::from_millis(3100)));
-    assert!(registry.check(start + Duration::from_millis(3300)));
+    assert!(!registry.expire_removals(start + Duration::from_millis(3100)));
+    assert!(registry.expire_removals(start + Duration::from_millis(3300)));
     assert!(ids(&registry).is_empty());
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_target_that_starts_again_meanwhile_is_believed() {
+async fn a_target_that_restarts_after_a_rollback_is_accepted() {
     let now = Instant::now();
-    let mut registry = three(now);
+    let mut registry = registry_with_three_targets(now);
     registry.on_era(now, StoreEra(2));
-    let listing = ["a", "b", "c"].map(|id| again(item(id, "ready", 50), 50));
+    let listing = ["a", "b", "c"].map(|id| after_rollback(item(id, "ready", 50), 50));
     registry.apply_listing(now, listing.into(), StorePosition::new(StoreEra(2), 60));
     let before = registry.published();
-    assert!(registry.apply(now, again(item_of("a", "ready", 61, 2_000, 1), 61)));
+    assert!(registry.apply(now, after_rollback(item_of("a", "ready", 61, 2_000, 1), 61)));
     let after = registry.published();
     assert_eq!(after.targets.restarted_since(&before.targets), ["a".into()]);
 }
 
 /// A node that starts right after an outage reads the store without an entry that lapsed; the others still believe it.
 #[tokio::test(start_paused = true)]
-async fn a_node_that_starts_does_not_take_a_lapse_for_a_removal() {
+async fn a_starting_node_does_not_take_a_lapse_for_a_removal() {
     let now = Instant::now();
-    let mut veteran = three(now);
-    veteran.on_store_back(now);
+    let mut veteran = registry_with_three_targets(now);
+    veteran.on_store_reconnected(now);
     veteran.apply(now, removed("a", 120));
     let mut starting = Registry::default();
     let listing = vec![item("b", "ready", 102), item("c", "ready", 103)];
     starting.apply_listing(now, listing, at(125));
     for record in veteran.published().records.iter() {
-        starting.apply_update(now, record.update());
+        starting.apply_update(now, record.to_update());
     }
     assert_eq!(ids(&starting), ["a", "b", "c"]);
     // It registers again in time, or not.
     let mut other = veteran;
     for registry in [&mut starting, &mut other] {
         registry.apply(now, item("a", "ready", 130));
-        registry.check(now + Duration::from_millis(2300));
+        registry.expire_removals(now + Duration::from_millis(2300));
         assert_eq!(ids(registry), ["a", "b", "c"]);
     }
 }
--- a/crates/azuresaddle-edge/src/control/tests/target_record.rs
+++ b/crates/azuresaddle-edge/src/control/tests/target_record.rs
@@ -46,7 +46,7 @@
                 if let Some(Some(item)) = log.last() {
                     let position = StorePosition::new(StoreEra(era), item.position.revision);
                     seen.push(
-                        TargetRecord::of_item(Item {
+                        TargetRecord::from_item(Item {
                             position,
                             ..item.clone()
                         })
@@ -75,7 +75,7 @@
                     position,
                     ..item_of("a", state, 1, born, number)
                 };
-                let record = TargetRecord::of_item(item.clone()).0;
+                let record = TargetRecord::from_item(item.clone()).0;
                 log.push(Some(item));
                 latest = Some(record.clone());
                 seen.push(record);
--- a/crates/azuresaddle-edge/src/peer/server.rs
+++ b/crates/azuresaddle-edge/src/peer/server.rs
@@ -105,7 +105,7 @@
                 .target_records
                 .iter()
                 .filter(|r| targets.is_none_or(|after| r.position() > after))
-                .map(|r| r.update())
+                .map(|r| r.to_update())
                 .collect(),
         }
     }
