--- a/crates/azuresaddle-edge/src/control/actor.rs
+++ b/crates/azuresaddle-edge/src/control/actor.rs
@@ -1,4 +1,4 @@
-//! The control loop.
+//! The control loop: receives datagrams, store events and observations, and publishes snapshots.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -30,44 +30,45 @@
 use crate::signals::ObservedSignals;
 use crate::snapshot::Snapshots;
 
-/// Longest wait for an answer of the store, other than of a watch.
+/// Timeout of store calls other than watches.
 const STORE_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// Age of the store's last answer up to which it counts as answering: a watch and its slack.
+/// Maximum age of the store's last answer for the watch to count as working: the duration of a
+/// watch plus slack.
 const WATCH_FRESH: Duration = Duration::from_millis(2600);
 
-/// Shortest time between two snapshots; what changes meanwhile is published together.
-/// A thousand targets that register within a second would each cost a snapshot otherwise.
+/// Minimum interval between two snapshots; changes in between are published together. Otherwise a
+/// thousand targets that register within a second would each cost a snapshot.
 const MIN_PUBLISH_INTERVAL: Duration = Duration::from_millis(30);
 
-/// Events of the store that wait for the control loop.
+/// Capacity of the queue of store events.
 const MAX_WAITING_EVENTS: usize = 64;
 
-/// Crashes of single requests that wait to be written to the store: those of all streams on a few targets.
+/// Capacity of the queue of crash writes: enough for the crashes of all streams on a few targets.
 const MAX_WAITING_CRASHES: usize = 64;
 
-/// What control needs.
+/// Dependencies of the control loop.
 pub(crate) struct ControlParts<N> {
     pub(crate) settings: NodeSettings,
     pub(crate) net: N,
     pub(crate) spawner: Spawner,
     pub(crate) incarnation: u64,
-    /// Unix time of the start, in milliseconds.
+    /// Unix time at which the process started, in milliseconds.
     pub(crate) started_ms: u64,
     pub(crate) socket: UdpSocket,
     pub(crate) snapshots: Snapshots,
     pub(crate) leaving: CancellationToken,
-    /// Incarnations of nodes that did not answer calls.
+    /// Incarnations of nodes that did not answer a call.
     pub(crate) no_answer: mpsc::Receiver<u64>,
     pub(crate) quarantine: Arc<SharedQuarantine>,
-    /// What this node's traffic has seen of requests that crash their targets.
+    /// Crash-related events that this node has observed in its own traffic.
     pub(crate) crashes_seen: mpsc::Receiver<CrashUpdate>,
-    /// Signals in the answers that this node has relayed.
+    /// Target signals in the answers that this node has relayed.
     pub(crate) signals_observed: mpsc::Receiver<ObservedSignals>,
     pub(crate) metrics: Metrics,
 }
 
-/// State of control.
+/// State of the control loop.
 pub(crate) struct Control<N> {
     pub(super) socket: UdpSocket,
     pub(super) heartbeat_port: u16,
@@ -79,25 +80,26 @@
     pub(super) registry: Registry,
     pub(super) configuration: Option<Arc<Configuration>>,
     pub(super) raw_configuration: Option<Arc<Vec<u8>>>,
-    /// Since when another node has known more than this one.
+    /// Since when another node has known later changes than this one.
     pub(super) behind_since: Option<Instant>,
-    /// Since when one that has heard of the same changes believes in other targets.
+    /// Since when a node at the same store position has had different targets.
     pub(super) differs_since: Option<Instant>,
     pub(super) is_fetching: bool,
-    /// When all targets were last asked for.
+    /// When all targets were last fetched from another node.
     pub(super) full_fetch_at: Option<Instant>,
     pub(super) start_gate: StartGate,
-    /// The copy of the store that this node knows of.
+    /// Latest known era of the store; each time the store is restored from an older copy a new era
+    /// begins.
     pub(super) known_era: Option<StoreEra>,
-    /// Switches the own watch of the store.
+    /// Enables the watch of the store.
     pub(super) watch_enabled: watch::Sender<bool>,
-    /// Switches the search for a store that has gone back.
+    /// Enables the probe that detects a rollback of the store.
     pub(super) probe_enabled: watch::Sender<bool>,
-    /// Whether this node has read all of the store.
+    /// Whether this node has read the complete store.
     pub(super) is_listed: bool,
-    /// Whether the store has ceased to answer this node.
+    /// Whether the store has stopped answering this node.
     pub(super) is_store_lost: bool,
-    /// When the store last answered this node.
+    /// When this node last received an answer from the store.
     pub(super) store_answered_at: Option<Instant>,
     pub(super) no_answer: mpsc::Receiver<u64>,
     pub(super) quarantine: Arc<SharedQuarantine>,
@@ -107,16 +109,16 @@
     pub(super) signal_gossip: SignalGossip,
     pub(super) crash_gossip: CrashGossip,
     pub(super) stored_crashes: StoredCrashes,
-    /// Crashes that the store should keep.
+    /// Queue of crashes to store or to remove from the store.
     pub(super) crash_writes: mpsc::Sender<CrashWrite>,
     pub(super) metrics: Metrics,
-    /// Whether something changed after the last snapshot.
+    /// Whether there are changes that the latest snapshot does not contain.
     pub(super) has_changes: bool,
     pub(super) published_at: Instant,
 }
 
 impl<N: Network> Control<N> {
-    /// Starts the control loop.
+    /// Spawns the control loop and its store tasks.
     pub(crate) fn spawn(parts: ControlParts<N>) {
         let spawner = parts.spawner.clone();
         let http = HttpClient::new(parts.net.clone(), spawner.clone());
@@ -208,8 +210,9 @@
                 received = self.socket.recv_from(&mut buf) => match received {
                     Ok((len, from)) => self.on_datagram(from, &buf[..len]).await,
                     Err(e) => {
-                        // A port without a listener at the other end shows up here.
-                        tracing::debug!(part = "control", error = %e, "datagram not received");
+                        // An ICMP error for an earlier datagram, sent to a port without a listener,
+                        // is reported here.
+                        tracing::debug!(part = "control", error = %e, "receiving a datagram failed");
                         false
                     }
                 },
@@ -224,8 +227,9 @@
                 () = leaving.cancelled(), if !self.members.is_leaving() => self.on_leaving(),
                 _ = tick.tick() => self.on_tick(&fetched_tx).await,
                 () = tokio::time::sleep_until(discovery_ends), if has_deferred_configuration => self.retry_deferred_configuration(),
-                // Without it a change soon after another one waits for the next tick: a node that has just
-                // started knows all targets before its traffic does.
+                // Publishes a change that came within `MIN_PUBLISH_INTERVAL` of the last snapshot
+                // without waiting for the next tick: otherwise a node that has just started knows
+                // all targets before its traffic does.
                 () = tokio::time::sleep_until(publish_at), if self.has_changes => false,
             };
             self.has_changes |= changed;
@@ -259,7 +263,7 @@
         members_changed || targets_changed || has_started_serving
     }
 
-    /// Follows the store where this node is one of those that do.
+    /// Enables or disables the watch and the probe of the store according to this node's rank.
     fn update_watch(&mut self, now: Instant) {
         let should = self.members.should_watch(now);
         let enabled = self.watch_enabled.send_if_modified(|on| {
@@ -271,7 +275,7 @@
             tracing::info!(
                 part = "control",
                 watching = should,
-                "watch of the store switched"
+                "store watch enabled or disabled"
             );
         }
         let should_probe = should && self.is_owner();
--- a/crates/azuresaddle-edge/src/control/crash_writer.rs
+++ b/crates/azuresaddle-edge/src/control/crash_writer.rs
@@ -1,4 +1,5 @@
-//! Writes crashes to the store, for nodes that start later and for those that reach no other node.
+//! Writes crashes to the store, for nodes that start later and for nodes that cannot reach any
+//! other node.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -12,29 +13,30 @@
 use super::store_watch::{FIRST_BACKOFF, MAX_BACKOFF, jittered};
 use super::stored_crashes::key_of;
 
-/// Time for which an entry lives without being written again: the longest that the store allows, and as long
-/// as the first quarantine.
+/// TTL of an entry: the longest that the store allows, and as long as the first quarantine.
 const ENTRY_TTL: Duration = Duration::from_secs(600);
 
-/// Age up to which a lease is used for further entries, which end the earlier by it.
+/// Age up to which a lease is reused for further entries, which then expire correspondingly
+/// earlier.
 const LEASE_REUSE_AGE: Duration = Duration::from_secs(60);
 
-/// Time for which crashes are gathered for one call.
+/// Time for which writes are collected into one call.
 const BATCH_DELAY: Duration = Duration::from_millis(50);
 
-/// Most entries that wait for a store that does not answer; more would outlive their use.
+/// Maximum number of pending entries while the store does not answer; more would be outdated before
+/// they are written.
 const MAX_PENDING: usize = 512;
 
-/// What the store should do.
+/// A change of the stored crashes.
 #[derive(Clone, Debug)]
 pub(super) enum CrashWrite {
-    /// Keep these crashes.
+    /// Store these crashes.
     Keep(Vec<Crash>),
-    /// Forget these crashes.
+    /// Remove these crashes.
     Remove(Vec<CrashKey>),
 }
 
-/// Writes what comes, until nobody sends any more.
+/// Processes the writes until the channel is closed.
 pub(super) async fn write_crashes<N: Network>(
     store: PlatformStore<N>,
     mut rx: mpsc::Receiver<CrashWrite>,
@@ -57,7 +59,7 @@
                 Ok(()) => backoff = FIRST_BACKOFF,
                 Err(StoreError::WentBack) => {}
                 Err(e) => {
-                    tracing::info!(part = "control", error = %e, "crashes not written");
+                    tracing::info!(part = "control", error = %e, "storing crashes failed");
                     tokio::time::sleep(jittered(backoff)).await;
                     backoff = (backoff * 2).min(MAX_BACKOFF);
                 }
@@ -68,11 +70,11 @@
 
 struct Writer<N> {
     store: PlatformStore<N>,
-    /// Keys of entries that are not written.
+    /// Keys of entries to write.
     pending: BTreeSet<String>,
-    /// Keys of entries that are to go.
+    /// Keys of entries to remove.
     removals: BTreeSet<String>,
-    /// The lease for new entries, and when it was asked for.
+    /// Current lease for new entries, and when it was requested.
     lease: Option<(Lease, Instant)>,
 }
 
@@ -87,7 +89,10 @@
     fn keep(&mut self, crashes: &[Crash]) {
         for crash in crashes {
             if self.pending.len() >= MAX_PENDING {
-                tracing::warn!(part = "control", "crash not written, too many wait");
+                tracing::warn!(
+                    part = "control",
+                    "crash not stored: too many pending entries"
+                );
                 return;
             }
             let key = key_of(crash).encode();
@@ -108,14 +113,14 @@
         !self.pending.is_empty() || !self.removals.is_empty()
     }
 
-    /// Writes and removes as many entries as one call takes.
+    /// Writes and removes as many entries as fit into one call.
     async fn write_batch(&mut self) -> Result<(), StoreError> {
         let lease = self.lease().await?;
         let keys: Vec<String> = self.pending.iter().take(MAX_WRITES).cloned().collect();
         let room = MAX_WRITES - keys.len();
         let removed: Vec<String> = self.removals.iter().take(room).cloned().collect();
         if let Err(e) = self.store.write_crashes(&keys, lease, &removed).await {
-            // It may have ended with an outage of the store.
+            // The lease may have expired in an outage of the store.
             self.lease = None;
             return Err(e);
         }
@@ -132,7 +137,7 @@
         let now = Instant::now();
         if let Some((lease, taken_at)) = self.lease
             && now - taken_at < LEASE_REUSE_AGE
-            // An older copy of the store gives its number to another writer.
+            // After a rollback the store may grant the same lease number to another writer.
             && Some(lease.era) == self.store.era()
         {
             return Ok(lease);
--- a/crates/azuresaddle-edge/src/control/crashes.rs
+++ b/crates/azuresaddle-edge/src/control/crashes.rs
@@ -1,4 +1,4 @@
-//! What control does with updates on requests that crash their targets.
+//! Handles and gossips updates about requests that crash their targets.
 
 use std::net::Ipv4Addr;
 use std::time::Duration;
@@ -14,26 +14,27 @@
 use super::heartbeat::Datagram;
 use crate::quarantine::CrashUpdate;
 
-/// Most updates in a datagram, each of at most 31 bytes.
+/// Maximum number of updates in a datagram; each takes at most 31 bytes.
 pub(super) const MAX_UPDATES: usize = 40;
 
-/// Updates on requests that crash their targets, for other nodes.
+/// Queue of updates about crashing requests, for other nodes.
 pub(super) type CrashGossip = GossipQueue<CrashUpdate, MAX_UPDATES>;
 
-/// Most datagrams that tell a node what is in quarantine.
+/// Maximum number of datagrams that inform a new node of the quarantine.
 const MAX_QUARANTINE_DATAGRAMS: usize = 4;
 
-/// Time that the node which places has to write again what the store has lost, before others do.
+/// Time that the owner gets to rewrite crashes that the store has lost before other nodes do.
 const NON_OWNER_REWRITE_DELAY: Duration = Duration::from_millis(200);
 
-/// Time after which what was written again is looked for.
+/// Delay after which rewritten crashes are checked.
 const REWRITE_CHECK_DELAY: Duration = Duration::from_millis(1000);
 
-/// Ticks between two looks for records that have ended.
+/// Ticks between two cleanups of the quarantine.
 const TICKS_PER_CLEANUP: u32 = 100;
 
 impl<N: Network> Control<N> {
-    /// Takes what this node has seen itself: all are told, and the store keeps what is in quarantine.
+    /// Handles an event that this node has observed itself: gossips it, and stores the crashes of a
+    /// quarantined request.
     pub(super) async fn on_crash_seen(&mut self, update: CrashUpdate) {
         self.crash_gossip.push(update);
         match update {
@@ -49,7 +50,7 @@
         self.gossip_crashes().await;
     }
 
-    /// Takes updates from another node, and passes on what is new.
+    /// Applies updates from another node, and relays new ones.
     pub(super) async fn on_crash_gossip(&mut self, from: Ipv4Addr, all: &[CrashUpdate]) {
         let mut has_update = false;
         for update in all {
@@ -67,7 +68,8 @@
             }
             has_update |= is_new;
         }
-        // The later rounds come with the ticks: a link that loses one datagram may lose the next ones too.
+        // Further rounds follow with the ticks, since a link that loses one datagram may also lose
+        // the next ones.
         if has_update {
             self.gossip_crashes().await;
         }
@@ -81,8 +83,8 @@
         is_new
     }
 
-    /// Takes a crash from another node, which is told what it may not know: that the request is in quarantine here, or
-    /// which of its runs came to a good end.
+    /// Applies a crash from another node, and replies with what that node may not know: that the
+    /// request is in quarantine here, or which of its runs ended well.
     async fn on_gossiped_crash(&mut self, from: Ipv4Addr, crash: Crash) -> bool {
         let request = crash.fingerprint;
         let was_quarantined = self.quarantine.standing(request).is_quarantined();
@@ -96,14 +98,15 @@
             let known = self.quarantine.crashes_of(request);
             self.send_crashes(from, &known).await;
         } else if self.gossip_if_quarantined(request) && self.is_owner() {
-            // Others may have seen one crash each, and written none.
+            // Each node may have seen only one crash and stored none.
             let known = self.quarantine.crashes_of(request);
             self.write_crashes(CrashWrite::Keep(known));
         }
         true
     }
 
-    /// Tells all crashes of a request that is in quarantine: a node that has seen it end well objects.
+    /// Gossips all crashes of a quarantined request, so that a node that knows a run of it that
+    /// ended well can object; true if the request is in quarantine.
     fn gossip_if_quarantined(&mut self, request: Fingerprint) -> bool {
         let is_quarantined = self.quarantine.standing(request).is_quarantined();
         if is_quarantined {
@@ -114,7 +117,8 @@
         is_quarantined
     }
 
-    /// Lets the store forget a request that is no longer in quarantine; one node does.
+    /// Removes the crashes of a request that is no longer in quarantine from the store; only the
+    /// owner does so.
     fn remove_stored_if_cleared(&mut self, request: Fingerprint) {
         if !self.is_owner() || self.quarantine.standing(request).is_quarantined() {
             return;
@@ -125,8 +129,8 @@
         }
     }
 
-    /// Takes an entry of the store. A removed one settles nothing: entries end with their lease, also in an
-    /// outage, and what is known here ends by itself.
+    /// Applies a crash entry of the store. A removed entry does not end a quarantine: entries
+    /// expire with their lease, also in an outage, and the quarantine expires on its own.
     pub(super) fn on_crash_item(&mut self, now: Instant, item: &Item) {
         let Some(key) = CrashKey::decode(&item.key) else {
             tracing::warn!(part = "control", key = item.key, "crash entry not readable");
@@ -146,27 +150,27 @@
             },
         };
         if self.quarantine.learn_crash(crash) == CrashStatus::New && !self.members.is_mesh() {
-            // Most nodes of a larger fleet don't follow the store.
+            // Most nodes of a larger fleet do not watch the store.
             self.crash_gossip.push(CrashUpdate::Crash(crash));
         }
     }
 
-    /// Tells a node that has just come what is in quarantine.
+    /// Informs a new node of the requests in quarantine.
     pub(super) async fn send_quarantine(&self, ip: Ipv4Addr) {
         let known = self.quarantine.quarantined();
         let most = known.len().min(MAX_QUARANTINE_DATAGRAMS * MAX_UPDATES);
         self.send_crashes(ip, &known[..most]).await;
     }
 
-    /// Takes which crashes the store keeps from a listing of all of its items.
+    /// Records from a complete listing which crashes the store contains.
     pub(super) fn on_crash_listing(&mut self, now: Instant, items: &[Item]) {
         let keys = items.iter().filter_map(|i| CrashKey::decode(&i.key));
         self.stored_crashes.replace(keys);
         self.schedule_stored_crash_check(now);
     }
 
-    /// Looks soon whether the store has lost what is in quarantine; the node that places looks first, so that one
-    /// node writes.
+    /// Schedules a check for quarantined requests that the store has lost. The owner checks first,
+    /// so that only one node writes.
     fn schedule_stored_crash_check(&mut self, now: Instant) {
         let delay = if self.is_owner() {
             Duration::ZERO
@@ -176,8 +180,8 @@
         self.stored_crashes.schedule_check(now + delay);
     }
 
-    /// Writes again what is in quarantine and the store has lost: with its leases in an outage, or by going back to an
-    /// older copy.
+    /// Rewrites crashes of quarantined requests that the store has lost, by expired leases in an
+    /// outage or by a rollback to an older copy.
     pub(super) fn rewrite_missing_crashes(&mut self, now: Instant) {
         if !self.stored_crashes.take_due_check(now) {
             return;
@@ -189,20 +193,20 @@
         tracing::info!(
             part = "control",
             crashes = missing.len(),
-            "crashes written again"
+            "rewriting crashes that the store has lost"
         );
         self.write_crashes(CrashWrite::Keep(missing));
         self.stored_crashes
             .schedule_check(now + REWRITE_CHECK_DELAY);
     }
 
-    /// Whether this node places streams.
+    /// Returns whether this node is the owner, which places streams.
     pub(super) fn is_owner(&self) -> bool {
         let (_, owner) = self.members.live_nodes(Instant::now());
         owner == self.members.incarnation()
     }
 
-    /// Tells the next round of updates.
+    /// Gossips the next round of updates.
     pub(super) async fn gossip_crashes(&mut self) {
         let updates = self.crash_gossip.next_round();
         if updates.is_empty() {
@@ -219,7 +223,7 @@
         }
     }
 
-    /// Forgets what has ended, now and then.
+    /// Removes expired quarantine records, at intervals.
     pub(super) fn expire_quarantine(&self) {
         if self.members.ticks.is_multiple_of(TICKS_PER_CLEANUP) {
             self.quarantine.forget_old();
@@ -240,7 +244,7 @@
 
     fn write_crashes(&self, write: CrashWrite) {
         if self.crash_writes.try_send(write).is_err() {
-            tracing::warn!(part = "control", "crashes not written, queue full");
+            tracing::warn!(part = "control", "crashes not stored: write queue is full");
         }
     }
 }
--- a/crates/azuresaddle-edge/src/control/datagrams.rs
+++ b/crates/azuresaddle-edge/src/control/datagrams.rs
@@ -1,4 +1,4 @@
-//! Sends and takes datagrams.
+//! Sends and handles datagrams.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -9,7 +9,7 @@
 use super::heartbeat::Datagram;
 
 impl<N: Network> Control<N> {
-    /// Takes a datagram of another node; true if something has changed by it.
+    /// Handles a datagram of another node; true if it changed something.
     pub(super) async fn on_datagram(&mut self, from: SocketAddr, bytes: &[u8]) -> bool {
         let SocketAddr::V4(from) = from else {
             return false;
@@ -21,7 +21,7 @@
                 let is_new = !self.members.knows(ip, beat.from.incarnation);
                 let changed = self.members.on_heartbeat(now, ip, &beat);
                 if is_new {
-                    // A node that has just started learns of the others within a round trip.
+                    // A node that has just started discovers the others within a round trip.
                     self.send_heartbeats(now, &[ip]).await;
                     self.send_quarantine(ip).await;
                     self.send_known_signals(ip).await;
@@ -51,13 +51,13 @@
                 claimed
             }
             None => {
-                tracing::debug!(part = "control", %from, "unreadable datagram ignored");
+                tracing::debug!(part = "control", %from, "malformed datagram ignored");
                 false
             }
         }
     }
 
-    /// Sends the own heartbeat, with the state of others.
+    /// Sends a heartbeat, with the state of other nodes.
     pub(super) async fn send_heartbeats(&mut self, now: Instant, to: &[Ipv4Addr]) {
         let bytes = Datagram::Heartbeat(self.members.heartbeat(now)).encode();
         for ip in to {
@@ -65,12 +65,12 @@
         }
     }
 
-    /// Sends a datagram; one that is lost is made up for by the next round.
+    /// Sends a datagram, best effort: a later round makes up for a lost one.
     pub(super) async fn send_to(&self, ip: Ipv4Addr, bytes: &[u8]) {
         let to = SocketAddr::from((ip, self.heartbeat_port));
         if let Err(e) = self.socket.send_to(bytes, to).await {
-            // The next heartbeat follows soon.
-            tracing::debug!(part = "control", %to, error = %e, "heartbeat not sent");
+            // No retry: the next heartbeat follows soon.
+            tracing::debug!(part = "control", %to, error = %e, "sending a datagram failed");
         }
     }
 }
--- a/crates/azuresaddle-edge/src/control/era_probe.rs
+++ b/crates/azuresaddle-edge/src/control/era_probe.rs
@@ -1,7 +1,8 @@
-//! Finds soon that the store has come back from an older copy.
+//! Probes the store to detect a rollback to an older copy quickly.
 //!
-//! Answers the pattern of a watch whose connection went silent with the store that took it: the watch shows that only
-//! when its time is over, two seconds later, while what the store has lost is to be written again within one.
+//! Guards against a watch whose connection died together with the store instance that accepted it.
+//! The watch only notices when it times out two seconds later, while entries that the store has
+//! lost have to be written again within one.
 
 use std::time::Duration;
 
@@ -9,22 +10,22 @@
 use azuresaddle_platform::PlatformStore;
 use tokio::sync::watch;
 
-/// Time between two probes; each costs a tenth of a call.
+/// Interval between two probes; each costs a tenth of a call.
 const INTERVAL: Duration = Duration::from_millis(400);
 
-/// Longest wait for the answer: with the interval, what is lost is known of within 0.7 s.
+/// Timeout of a probe: together with the interval, a rollback is detected within 0.7 s.
 const TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Asks the store which copy answers, while `enabled`, for ever; ends when nobody enables it any more. The client
-/// tells all who use it.
+/// Queries the store's era while `enabled`, until the sender is dropped. The client passes the era
+/// on to all its users.
 pub(super) async fn probe_era<N: Network>(
     store: PlatformStore<N>,
     mut enabled: watch::Receiver<bool>,
 ) {
     while enabled.wait_for(|on| *on).await.is_ok() {
         if let Err(e) = store.probe(TIMEOUT).await {
-            // The watch tells where the store does not answer.
-            tracing::debug!(part = "control", error = %e, "era not known");
+            // The watch reports a store that does not answer.
+            tracing::debug!(part = "control", error = %e, "store era probe failed");
         }
         tokio::time::sleep(INTERVAL).await;
     }
--- a/crates/azuresaddle-edge/src/control/failover.rs
+++ b/crates/azuresaddle-edge/src/control/failover.rs
@@ -1,10 +1,12 @@
-//! Who places streams after an owner that does not answer.
+//! Replacement of an owner that does not answer.
 //!
-//! Answers the pattern of an owner that stalls, or that some nodes can't reach, in a fleet of hundreds.
-//! When each node on its own took the next one for the owner, two nodes placed on the same engines for two
-//! seconds, neither with knowledge of the other's streams, a fifth of the streams by the second. So a node
-//! votes with the one that would succeed. That one takes over when several agree, with a higher term, and
-//! tells everybody; an earlier owner that hears of the term yields.
+//! Guards against an owner that stalls, or that some nodes cannot reach, in a fleet of hundreds.
+//! When each node chose the next owner on its own, two nodes placed streams on the same engines for
+//! two seconds without knowledge of each other's streams; the second one placed a fifth of them.
+//!
+//! So a node that suspects the owner sends a vote to the node that would succeed it. The successor
+//! takes over when several nodes agree: it claims ownership with a higher term and announces it to
+//! all nodes. An earlier owner that receives the higher term yields.
 
 use std::collections::HashMap;
 use std::net::Ipv4Addr;
@@ -15,51 +17,53 @@
 use super::heartbeat::{MemberState, Vote};
 use super::members::Members;
 
-/// Most votes that it takes to replace an owner: one node, or two behind one broken switch port, say
-/// more of themselves than of the owner.
+/// Maximum number of votes needed to replace an owner. One node, or two behind the same broken
+/// switch port, may have lost their own connection.
 const MAX_VOTES: usize = 3;
 
-/// Age up to which a vote counts: nodes find the silence with their own calls, within two reports.
+/// Time for which a vote is valid: nodes notice an unresponsive owner by their own calls, within
+/// two reports.
 const VOTE_TTL: Duration = Duration::from_millis(1000);
 
-/// Time after its last call without an answer for which a node suspects the owner.
+/// Time after its last unanswered call for which a node suspects the owner.
 const SUSPICION_TTL: Duration = Duration::from_millis(1000);
 
 /// Time that a successor gets to take over before the next one is asked: many round trips.
 const SUCCESSOR_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Time for which a successor that did not take over is passed over.
+/// Time for which a successor that did not take over is skipped.
 const SKIP_DURATION: Duration = Duration::from_secs(2);
 
-/// Time after its start for which a node without a claim to go by asks nobody: until then the strongest
-/// hosts have the configuration where hundreds start together; a part of what callers wait.
+/// Time after the start of the process for which it waits for a claim before it uses the
+/// highest-ranked node as owner. By then the strongest hosts have the configuration if hundreds
+/// start together. It takes only a part of the time that callers wait.
 const CLAIM_WAIT: Duration = Duration::from_millis(1000);
 
-/// What is known of an owner that may have gone silent.
+/// Failover state of a node: its own suspicion, and the votes of others.
 #[derive(Debug, Default)]
 pub(super) struct Failover {
-    /// The own suspicion.
+    /// This node's suspicion of the owner.
     suspicion: Option<Suspicion>,
-    /// Successors that did not take over, and until when they are passed over.
+    /// Successors that did not take over, and until when they are skipped.
     skipped: HashMap<u64, Instant>,
-    /// Owner that the votes are about.
+    /// Owner that the votes are against.
     voted_owner: u64,
-    /// When each node voted last.
+    /// Latest vote of each node.
     votes: HashMap<u64, Instant>,
 }
 
-/// An owner that did not answer this node.
+/// A suspected owner that did not answer this node.
 #[derive(Clone, Copy, Debug)]
 struct Suspicion {
     owner: u64,
-    /// When the present successor was first told.
+    /// When the current successor was first notified.
     since: Instant,
-    /// When the owner last gave no answer.
+    /// When the owner last failed to answer.
     renewed_at: Instant,
 }
 
 impl Members {
-    /// Notes that the owner did not answer a call; true where this node takes over by it.
+    /// Records that the owner did not answer a call; true if this node takes over as a result.
     pub(super) fn on_no_answer(&mut self, now: Instant, incarnation: u64) -> bool {
         let is_owner = self.ranked(now)[0].incarnation == incarnation;
         if !is_owner || incarnation == self.own.incarnation {
@@ -75,7 +79,7 @@
         self.check_suspicion(now)
     }
 
-    /// Where to tell of the silent owner, and what; `None` where this node suspects nobody.
+    /// Returns the vote to send and the successor's host; `None` if this node suspects nobody.
     pub(super) fn vote(&self, now: Instant) -> Option<(Ipv4Addr, Vote)> {
         let suspicion = self.failover.suspicion?;
         let successor = self.successor(now, suspicion.owner)?;
@@ -86,7 +90,7 @@
         (successor.incarnation != self.own.incarnation).then_some((successor.ip, vote))
     }
 
-    /// Takes a vote against an owner that does not answer; true where this node takes over.
+    /// Counts a vote against the owner; true if this node takes over as a result.
     pub(super) fn on_vote(&mut self, now: Instant, vote: Vote) -> bool {
         let owner = self.ranked(now)[0].incarnation;
         if vote.owner != owner || owner == self.own.incarnation || !self.own.takes_callers() {
@@ -108,7 +112,7 @@
         true
     }
 
-    /// Follows the own suspicion as time passes; true where this node takes over.
+    /// Expires or escalates this node's suspicion; true if this node takes over as a result.
     pub(super) fn check_suspicion(&mut self, now: Instant) -> bool {
         self.failover.skipped.retain(|_, until| now < *until);
         let Some(suspicion) = self.failover.suspicion else {
@@ -137,25 +141,25 @@
         false
     }
 
-    /// Whether this node, which has just started, should wait for a claim rather than take the best of the
-    /// few nodes that it knows for the owner.
+    /// Returns whether this node, which has just started, should wait for a claim rather than use
+    /// the best of the few nodes that it knows as owner.
     ///
-    /// In a fleet that starts as a whole that node changes with each one that is heard of, and none has
-    /// knowledge of the streams that the others placed.
+    /// While a whole fleet starts, the best known node changes with each new heartbeat, and none of
+    /// these nodes knows the streams that the others placed.
     pub(super) fn awaits_claim(&self, now: Instant, first: &MemberState) -> bool {
         first.term == 0 && now < self.claim_wait_ends()
     }
 
-    /// When this node stops to wait for a claim.
+    /// When this node stops waiting for a claim.
     pub(super) fn claim_wait_ends(&self) -> Instant {
         self.started_at + CLAIM_WAIT
     }
 
-    /// Claims where nobody has and this node comes first; true where it does.
+    /// Claims ownership if this node ranks first and has not claimed it yet; true if it did.
     ///
-    /// Without a claim the owner of a fleet that starts as a whole was whoever was the best of those that
-    /// had a configuration by then, one after the other. A weak host claims nothing while a stronger one lives, since a
-    /// claim lasts.
+    /// When a whole fleet started without claims, the owner changed from one node to the next:
+    /// always the best of those that had a configuration by then. A weak host does not claim while
+    /// a stronger one is live, since a claim is permanent.
     pub(super) fn claim_if_first(&mut self, now: Instant) -> bool {
         let is_first = self.ranked(now)[0].incarnation == self.own.incarnation;
         if !is_first || self.own.term > 0 || !self.own.takes_callers() {
@@ -170,7 +174,7 @@
         true
     }
 
-    /// Places streams from now on, by a term above all that are known.
+    /// Claims ownership with a term above all known ones.
     fn claim(&mut self, now: Instant) {
         let highest = self.members.values().map(|m| m.state.term).max();
         self.own.term = highest.unwrap_or(0).max(self.own.term) + 1;
@@ -179,20 +183,21 @@
             part = "control",
             term = self.own.term,
             votes,
-            "owner claims"
+            "ownership claimed"
         );
         self.failover = Failover::default();
         debug_assert_eq!(self.ranked(now)[0].incarnation, self.own.incarnation);
     }
 
-    /// The node that would place if the owner were gone.
+    /// The node that would be the owner without the current one.
     fn successor(&self, now: Instant, owner: u64) -> Option<&MemberState> {
         let skipped = &self.failover.skipped;
         let mut others = self.ranked(now).into_iter();
         others.find(|n| n.incarnation != owner && !skipped.contains_key(&n.incarnation))
     }
 
-    /// Votes that it takes: most of a small fleet without its owner.
+    /// Number of votes needed: half of the nodes other than the owner, rounded up, and at most
+    /// `MAX_VOTES`.
     fn votes_needed(&self, now: Instant) -> usize {
         let others = self.ranked(now).len() - 1;
         others.div_ceil(2).clamp(1, MAX_VOTES)
--- a/crates/azuresaddle-edge/src/control/failover_messages.rs
+++ b/crates/azuresaddle-edge/src/control/failover_messages.rs
@@ -1,4 +1,4 @@
-//! What control sends when an owner is silent or replaced.
+//! Messages that a node sends when the owner is unresponsive or replaced.
 
 use azuresaddle_core::prelude::*;
 use tokio::time::Instant;
@@ -7,7 +7,7 @@
 use super::heartbeat::Datagram;
 
 impl<N: Network> Control<N> {
-    /// Notes that the owner did not answer, and tells the node that would succeed.
+    /// Records that the owner did not answer, and sends a vote to its successor.
     pub(super) async fn on_no_answer(&mut self, node: u64) -> bool {
         let now = Instant::now();
         let claimed = self.members.on_no_answer(now, node);
@@ -18,15 +18,16 @@
         claimed
     }
 
-    /// Tells the successor that the owner is silent, again with each tick, since datagrams get lost.
+    /// Sends the vote against the owner to the successor. Repeated with each tick, since datagrams
+    /// may be lost.
     pub(super) async fn send_vote(&self, now: Instant) {
         if let Some((ip, vote)) = self.members.vote(now) {
             self.send_to(ip, &Datagram::Vote(vote).encode()).await;
         }
     }
 
-    /// Tells all nodes at once that this one places streams now: by the usual way some would ask the
-    /// earlier owner for a second.
+    /// Announces to all nodes at once that this node is the owner now. Regular gossip would leave
+    /// some of them asking the previous owner for a second.
     pub(super) async fn announce_claim(&mut self, now: Instant, claimed: bool) {
         if !claimed {
             return;
--- a/crates/azuresaddle-edge/src/control/fetch.rs
+++ b/crates/azuresaddle-edge/src/control/fetch.rs
@@ -1,4 +1,4 @@
-//! Fetches from other nodes what they know and this one does not.
+//! Fetches configurations and targets from other nodes that know later changes.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,33 +12,36 @@
 use super::heartbeat::MemberState;
 use crate::peer::PeerUpdate;
 
-/// Longest wait for an update from another node.
+/// Timeout for fetching an update from another node.
 const PEER_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Time that a node gives its own watch to bring what another node already knows.
+/// Time for which a node that watches the store waits for its own watch to deliver a change that
+/// another node already knows.
 const WATCH_HEAD_START: Duration = Duration::from_millis(150);
 
-/// Time for which a node that has heard of the same changes must differ before all targets are fetched: single changes
-/// don't bring both to the same targets then. A node that is merely behind never fetches all: while thousands of targets
-/// registered, each node of a large fleet did so all the time, and the links had no room for heartbeats.
+/// Time for which two nodes at the same position must differ before all targets are fetched;
+/// fetching single changes cannot reconcile them.
+///
+/// A node that is merely behind never fetches all targets: while thousands of targets registered,
+/// each node of a large fleet did so constantly, which left no bandwidth for heartbeats.
 const FULL_FETCH_DELAY: Duration = Duration::from_millis(1000);
 
-/// Time after its start for which a node waits for its own reading of the store.
+/// Time after the start of the process for which it waits for its own first listing of the store.
 const LISTING_WAIT: Duration = Duration::from_secs(1);
 
-/// Shortest time between two fetches of all targets.
+/// Minimum interval between two fetches of all targets.
 const MIN_FULL_FETCH_INTERVAL: Duration = Duration::from_millis(1000);
 
-/// How much is fetched from another node.
+/// What is fetched from another node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum FetchScope {
-    /// What changed after a position.
+    /// Changes after a position.
     Changes(StorePosition),
-    /// Everything.
+    /// All targets.
     All,
 }
 
-/// An answer to a fetch; `None` where there was none.
+/// Result of a fetch; `update` is `None` if it failed.
 #[derive(Debug)]
 pub(super) struct Fetched {
     scope: FetchScope,
@@ -46,7 +49,8 @@
 }
 
 impl<N: Network> Control<N> {
-    /// Asks a better informed node for what it knows, once the own watch had its chance.
+    /// Fetches from a node that knows later changes, once the own watch has had time to deliver
+    /// them.
     pub(super) fn fetch_if_behind(&mut self, now: Instant, fetched_tx: &mpsc::Sender<Fetched>) {
         let Some((addr, scope)) = self.next_fetch(now) else {
             return;
@@ -73,16 +77,17 @@
                 })
                 .await;
             if let Err(e) = &update {
-                tracing::debug!(part = "control", %addr, error = %e, "update not fetched");
+                tracing::debug!(part = "control", %addr, error = %e, "fetching an update failed");
             }
             let update = update.ok();
-            // The loop outlives this task.
+            // A send fails only if the control loop has ended.
             let _ = tx.send(Fetched { scope, update }).await;
         });
     }
 
-    /// Which node to ask, and for how much; `None` where nobody knows more, or the own watch may still tell it.
-    /// Everything is asked of a node that differs although it has heard of the same changes, and by one that starts.
+    /// Chooses the node to fetch from and the scope; `None` if no node knows more, or the own watch
+    /// may still deliver it. All targets are fetched when this node starts, and when a node at the
+    /// same position has different targets.
     fn next_fetch(&mut self, now: Instant) -> Option<(SocketAddr, FetchScope)> {
         if self.needs_sync() {
             let settled = self.members.choose_peer(now, |n| n.is_settled);
@@ -120,9 +125,11 @@
         is_due.then_some((addr, FetchScope::All))
     }
 
-    /// Whether this node reads all targets from the store just now, so that it need not have them from others too.
+    /// Returns whether this node is still reading the complete store, so that it need not fetch the
+    /// targets from other nodes too.
     ///
-    /// Hundreds that start together had each target twice, over links that some share with callers.
+    /// Without this check, hundreds of nodes that start together receive each target twice, over
+    /// links that some share with callers.
     fn is_listing(&self, now: Instant) -> bool {
         let age = now.saturating_duration_since(self.members.started_at);
         !self.is_listed && !self.is_store_lost && age < LISTING_WAIT
@@ -156,7 +163,7 @@
         changed | self.retry_deferred_configuration()
     }
 
-    /// Tells operators where the store has gone back to an older copy.
+    /// Logs and counts a rollback of the store to an older copy.
     pub(super) fn detect_rollback(&mut self) {
         let era = self.registry.era();
         if era == StoreEra::default() {
@@ -167,7 +174,7 @@
             tracing::warn!(
                 part = "control",
                 era = era.0,
-                "store went back to an older copy"
+                "store rolled back to an older copy"
             );
             self.metrics.store_returns.inc();
         }
--- a/crates/azuresaddle-edge/src/control/gossip.rs
+++ b/crates/azuresaddle-edge/src/control/gossip.rs
@@ -1,7 +1,8 @@
-//! How the state of nodes spreads.
+//! Gossip of node states by heartbeats.
 //!
-//! In a larger fleet a heartbeat carries the whole state of a few nodes and heartbeat digests of many.
-//! Whoever gets a digest of a node that it does not know asks the sender for the rest.
+//! In a larger fleet a heartbeat carries the full state of a few nodes and digests of many. A node
+//! that receives a digest of an unknown node, or of an unknown state, requests the full state from
+//! the sender.
 
 use std::net::Ipv4Addr;
 
@@ -13,30 +14,31 @@
 };
 use super::members::{Member, Members};
 
-/// Partners of a heartbeat in a larger fleet: with digests of 70 nodes each, what one node says is
-/// known to 90 after about three rounds.
+/// Number of gossip peers per round in a larger fleet: with 70 digests per heartbeat, a state
+/// reaches 90 nodes after about three rounds.
 const FANOUT: usize = 4;
 
-/// Partners among them that are of another failure domain: a domain of dozens of nodes still hears of the others dozens
-/// of times a round, and bytes between domains are dear.
+/// Number of these peers that are in another failure domain. Dozens of nodes in one domain still
+/// receive dozens of heartbeats from others per round, and traffic between domains is expensive.
 const CROSS_DOMAIN_FANOUT: usize = 1;
 
-/// Ticks between two rounds of heartbeats in a larger fleet.
+/// Ticks per gossip round in a larger fleet.
 const TICKS_PER_ROUND: u32 = 2;
 
-/// Nodes by chance among those whose whole state is told, so that a change that was missed is made
-/// up although later ones crowd it out.
+/// Number of full states in a heartbeat that are chosen at random, so that a node that missed a
+/// change still receives it when later changes displace it.
 const RANDOM_STATES: usize = MAX_FULL_STATES / 2;
 
 impl Members {
-    /// The own heartbeat, with the state of other live nodes.
+    /// Creates the next heartbeat, with the state of other live nodes.
     pub(super) fn heartbeat(&mut self, now: Instant) -> Heartbeat {
         self.own.counter = self.own.counter.wrapping_add(1);
         let failure_timeout = self.failure_timeout();
         let fresh = |m: &&Member| now.saturating_duration_since(m.heard_at) < failure_timeout;
         let mut alive: Vec<&Member> = self.members.values().filter(fresh).collect();
         alive.sort_by_key(|m| m.state.ip);
-        // Many are heard of in the same moment; by chance among them none are always crowded out.
+        // Many nodes have the same `heard_at`; shuffling keeps the same ones from always being left
+        // out.
         alive.shuffle(&mut self.rng);
         alive.sort_by_key(|m| std::cmp::Reverse(m.heard_at));
         let digests = alive.iter().take(MAX_DIGESTS);
@@ -55,7 +57,7 @@
         }
     }
 
-    /// The own heartbeat without the state of others.
+    /// Creates the next heartbeat, without the state of other nodes.
     pub(super) fn bare_heartbeat(&mut self) -> Heartbeat {
         self.own.counter = self.own.counter.wrapping_add(1);
         Heartbeat {
@@ -65,13 +67,13 @@
         }
     }
 
-    /// Hosts of all live nodes but this one.
+    /// Hosts of all other live nodes.
     pub(super) fn alive_hosts(&self, now: Instant) -> Vec<Ipv4Addr> {
         let alive = self.members.values().filter(|m| self.is_alive(m, now));
         alive.map(|m| m.state.ip).collect()
     }
 
-    /// Takes a heartbeat from a host; true where it changes who is alive or what it offers.
+    /// Applies a heartbeat from a host; true if it changes which nodes are live or what they offer.
     pub(super) fn on_heartbeat(&mut self, now: Instant, from: Ipv4Addr, beat: &Heartbeat) -> bool {
         if beat.from.ip != from {
             return false;
@@ -86,14 +88,15 @@
         changed
     }
 
-    /// Takes the whole state of nodes from another one.
+    /// Applies full states that another node sent; true if they change which nodes are live or what
+    /// they offer.
     pub(super) fn on_states(&mut self, now: Instant, all: &[MemberState]) -> bool {
         all.iter().fold(false, |changed, state| {
             self.merge_state(now, state, false) | changed
         })
     }
 
-    /// Hosts in a heartbeat of which the sender knows more than heartbeat digests.
+    /// Hosts in a heartbeat whose full state should be requested from the sender.
     pub(super) fn hosts_to_request(&self, beat: &Heartbeat) -> Vec<Ipv4Addr> {
         let is_unknown = |s: &&HeartbeatDigest| {
             s.ip != self.own.ip && self.members.get(&s.ip).is_none_or(|m| differs(m, s))
@@ -102,7 +105,7 @@
         unknown.take(MAX_REQUESTED_STATES).collect()
     }
 
-    /// The whole state of hosts, as far as they are alive.
+    /// Full states of those of the hosts that are live.
     pub(super) fn states_of(&self, now: Instant, hosts: &[Ipv4Addr]) -> Vec<MemberState> {
         let known = hosts.iter().filter_map(|ip| self.members.get(ip));
         let alive = known.filter(|m| self.is_alive(m, now));
@@ -121,7 +124,7 @@
             return false;
         }
         let same_process = known.filter(|m| m.state.incarnation == state.incarnation);
-        // A later heartbeat digest may have come before this state.
+        // A later digest may have arrived before this state.
         let later_digest = same_process.filter(|m| m.last_counter >= state.counter);
         let (last_counter, heard_at) =
             later_digest.map_or((state.counter, now), |m| (m.last_counter, m.heard_at));
@@ -140,10 +143,11 @@
         changed
     }
 
-    /// Takes a heartbeat digest of a node that is known; true where it was taken for gone.
+    /// Applies a digest of a known node; true if the node was considered failed.
     ///
-    /// One that tells of another state counts only with the whole state: passed on with the old state
-    /// it would make every node that knows better ask again and again.
+    /// A digest with a different state tag counts only once the full state is known: relayed
+    /// together with the outdated state, it would make every better informed node request the state
+    /// over and over.
     fn merge_digest(&mut self, now: Instant, digest: &HeartbeatDigest) -> bool {
         let Some(member) = self.members.get(&digest.ip) else {
             return false;
@@ -159,7 +163,7 @@
         was_gone
     }
 
-    /// Hosts to send a heartbeat to now.
+    /// Hosts to send a heartbeat to in this tick.
     pub(super) fn heartbeat_destinations(&mut self) -> Vec<Ipv4Addr> {
         if self.is_mesh() {
             let mut all: Vec<Ipv4Addr> = self.members.keys().copied().collect();
@@ -174,7 +178,7 @@
         self.gossip_peers()
     }
 
-    /// A few hosts at random, for what should spread at once.
+    /// Random hosts that receive what should spread at once.
     pub(super) fn gossip_peers(&mut self) -> Vec<Ipv4Addr> {
         let mut all: Vec<&MemberState> = self.members.values().map(|m| &m.state).collect();
         all.sort_unstable_by_key(|n| n.ip);
@@ -183,7 +187,7 @@
             let is_far = |n: &MemberState| n.domain != self.own.domain;
             let (far, near): (Vec<&MemberState>, Vec<&MemberState>) =
                 all.into_iter().partition(|n| is_far(n));
-            // Where one kind is too small the other makes it up.
+            // If there are too few nodes of one kind, nodes of the other kind take their place.
             let near_count = near.len().min(FANOUT - CROSS_DOMAIN_FANOUT.min(far.len()));
             let near = near.into_iter().take(near_count);
             all = near
@@ -198,18 +202,18 @@
     member.state.incarnation as u16 == digest.process
 }
 
-/// Whether a heartbeat digest tells of another process or state than the one that is known.
+/// Returns whether a digest shows another process or state than the known one.
 fn differs(member: &Member, digest: &HeartbeatDigest) -> bool {
     let is_later = digest.counter > member.state.counter;
     let same_state = digest.state.matches(&member.state);
     !is_same_process(member, digest) || (is_later && !same_state)
 }
 
-/// Whether a state of a node replaces an older one.
+/// Returns whether a state replaces the known one.
 fn is_newer(known: &MemberState, state: &MemberState, is_direct: bool) -> bool {
     if known.incarnation == state.incarnation {
         return state.counter > known.counter;
     }
-    // A restarted process may have a clock that was set back; what it says itself counts.
+    // The clock of a restarted process may have been set back, so its own heartbeats always count.
     is_direct || state.started_ms > known.started_ms
 }
--- a/crates/azuresaddle-edge/src/control/gossip_queue.rs
+++ b/crates/azuresaddle-edge/src/control/gossip_queue.rs
@@ -1,19 +1,19 @@
-//! How nodes tell each other what one of them has seen.
+//! Queue of updates that a node gossips.
 //!
-//! Each update goes to all nodes of a small fleet; in a larger one to a few partners, who pass on what
-//! is new to them. Datagrams get lost, so it is told in several rounds.
+//! In a small fleet each update goes to all nodes; in a larger one to a few gossip peers, which
+//! relay what is new to them. Each update is sent in several rounds, since datagrams may be lost.
 
 use std::collections::VecDeque;
 
-/// Rounds in which an update is told: with four partners each, three reach hundreds of nodes although some datagrams
-/// are lost.
+/// Number of rounds in which an update is sent: with four gossip peers each, three rounds reach
+/// hundreds of nodes even if some datagrams are lost.
 const SEND_ROUNDS: u32 = 3;
 
-/// Most updates that wait; beyond, the oldest are dropped. A datagram a round to four partners is all that a node
-/// sends, whatever happens.
+/// Capacity of the queue; when it is full the oldest updates are dropped. A node never sends more
+/// than one datagram per round to each of four gossip peers.
 const MAX_WAITING: usize = 1024;
 
-/// Updates that wait to be told, at most `PER_ROUND` of them in one round.
+/// Queue of updates to send, at most `PER_ROUND` of them per round.
 #[derive(Debug)]
 pub(super) struct GossipQueue<T, const PER_ROUND: usize> {
     waiting: VecDeque<QueuedUpdate<T>>,
@@ -34,7 +34,7 @@
 }
 
 impl<T: Clone, const PER_ROUND: usize> GossipQueue<T, PER_ROUND> {
-    /// Takes something to tell.
+    /// Adds an update.
     pub(super) fn push(&mut self, update: T) {
         if self.waiting.len() >= MAX_WAITING {
             self.waiting.pop_front();
@@ -45,7 +45,7 @@
         });
     }
 
-    /// What to tell in one round; the updates that were told least come first.
+    /// Returns the updates of the next round; those that were sent least often come first.
     pub(super) fn next_round(&mut self) -> Vec<T> {
         let count = self.waiting.len().min(PER_ROUND);
         let mut told = Vec::with_capacity(count);
--- a/crates/azuresaddle-edge/src/control/heartbeat.rs
+++ b/crates/azuresaddle-edge/src/control/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Datagrams between nodes.
+//! Datagrams that nodes exchange, and their encoding.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -8,88 +8,92 @@
 use crate::quarantine::CrashUpdate;
 use crate::signals::SignalUpdate;
 
-/// Most bytes of a datagram; below the usual limit of an unfragmented one.
+/// Largest datagram, in bytes; stays below the usual limit for unfragmented packets.
 pub(super) const MAX_BYTES: usize = 1400;
 
-/// Most nodes whose whole state is in a heartbeat; each takes at most 62 bytes.
+/// Maximum number of full node states in a heartbeat; each takes at most 62 bytes.
 pub(super) const MAX_FULL_STATES: usize = 4;
 
-/// Most heartbeat digests in a heartbeat; each takes at most 13 bytes. With the whole state of a few
-/// nodes in their stead, nodes of a large fleet miss each other.
+/// Maximum number of digests in a heartbeat; each takes at most 13 bytes. Sending the full state of
+/// a few nodes instead of digests makes nodes of a large fleet take each other for failed.
 pub(super) const MAX_DIGESTS: usize = 84;
 
-/// Most nodes whose whole state one datagram asks for or answers with.
+/// Maximum number of full node states that one datagram requests or returns.
 pub(super) const MAX_REQUESTED_STATES: usize = 28;
 
-/// What a node says of itself, and others pass on.
+/// State that a node announces about itself and that other nodes relay.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct MemberState {
-    /// Address of its host.
+    /// IP address of the node's host.
     pub(super) ip: Ipv4Addr,
-    /// Random number of its process.
+    /// Random identifier of the process.
     pub(super) incarnation: u64,
-    /// Grows with each heartbeat of the process.
+    /// Heartbeat counter; incremented with each heartbeat of the process.
     pub(super) counter: u32,
-    /// Unix time of its start, in milliseconds; orders nodes, and is never compared to a clock.
+    /// Unix time at which the process started, in milliseconds. Only used to order nodes; never
+    /// compared with a clock.
     pub(super) started_ms: u64,
-    /// Share of a core that its host offers, in thousandths.
+    /// CPU share of the host, in thousandths of a core.
     pub(super) cpu_milli: u32,
-    /// Hash of the name of its failure domain.
+    /// Hash of the failure domain's name.
     pub(super) domain: u16,
-    /// Port where callers connect.
+    /// Port on which the node accepts callers.
     pub(super) callers_port: u16,
-    /// Version of the configuration in force; 0 for none.
+    /// Version of the configuration in force; 0 if there is none.
     pub(super) configuration: u64,
-    /// Position of the last change of targets that it knows.
+    /// Store position of the latest target change that the node knows.
     pub(super) targets: StorePosition,
-    /// Hash of the targets that it knows.
+    /// Hash of the targets that the node knows.
     pub(super) targets_hash: u32,
-    /// Whether it has served for longer than a fleet takes to start.
+    /// Whether the node has been serving for longer than a fleet takes to start.
     pub(super) is_settled: bool,
-    /// Whether it is stopping.
+    /// Whether the node is shutting down.
     pub(super) is_leaving: bool,
-    /// Whether it follows the store and the store answers.
+    /// Whether the node watches the store and receives answers from it.
     pub(super) is_watching: bool,
-    /// Term of its claim to place streams; 0 for none. The highest one among live nodes counts.
+    /// Term of the node's ownership claim; 0 if it has claimed none. The highest term among live
+    /// nodes determines the owner.
     pub(super) term: u32,
 }
 
 impl MemberState {
-    /// Where callers connect.
+    /// Address on which the node accepts callers.
     pub(super) fn callers(&self) -> SocketAddr {
         SocketAddr::from((self.ip, self.callers_port))
     }
 
-    /// Whether callers may be sent there.
+    /// Whether the node accepts callers: it has a configuration and is not shutting down.
     pub(super) fn takes_callers(&self) -> bool {
         !self.is_leaving && self.configuration != 0
     }
 }
 
-/// A heartbeat of one node, with the state of others.
+/// A node's heartbeat, with the state of other nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct Heartbeat {
     pub(super) from: MemberState,
-    /// Nodes that changed last, and a few by chance.
+    /// Full states of the most recently changed nodes and of a few random ones.
     pub(super) others: Vec<MemberState>,
-    /// Further nodes that were heard of last.
+    /// Digests of the nodes that were heard from most recently.
     pub(super) digests: Vec<HeartbeatDigest>,
 }
 
-/// The latest heartbeat of a node, as far as it takes to know that the node lives.
+/// Compact record of a node's latest heartbeat, sufficient for failure detection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct HeartbeatDigest {
     pub(super) ip: Ipv4Addr,
-    /// Low bits of the incarnation.
+    /// Low 16 bits of the incarnation.
     pub(super) process: u16,
     pub(super) counter: u32,
-    /// What the sender knows of its state.
+    /// Tag of the state that the sender knows of the node.
     pub(super) state: StateTag,
 }
 
-/// Short form of the parts of a node's state that others act on at once: whether it takes callers, and the
-/// term of its claim to place. Another one than is known leads to a question for the whole state: among
-/// hundreds of nodes that have just started, a claim would be unknown to some for seconds.
+/// Compact form of the state that other nodes act on at once: whether the node accepts callers, and
+/// the term of its claim.
+///
+/// A receiver that sees an unexpected tag requests the full state. Without the tag, some nodes of a
+/// fleet in which hundreds have just started would miss a claim for seconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct StateTag(u8);
 
@@ -99,14 +103,14 @@
         Self(term << 1 | u8::from(state.takes_callers()))
     }
 
-    /// Whether the state of a node is this one.
+    /// Returns whether the tag matches a node's state.
     pub(super) fn matches(self, state: &MemberState) -> bool {
         self == Self::new(state)
     }
 }
 
 impl HeartbeatDigest {
-    /// The digest of a node whose heartbeat of that number was heard of.
+    /// Creates the digest of a node whose heartbeat with the given counter has been received.
     pub(super) fn new(state: &MemberState, counter: u32) -> Self {
         Self {
             ip: state.ip,
@@ -117,37 +121,37 @@
     }
 }
 
-/// What nodes send each other as datagrams.
+/// A datagram between nodes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(super) enum Datagram {
     Heartbeat(Heartbeat),
-    /// Asks for the whole state of hosts of which only heartbeat digests are known.
+    /// Requests the full state of hosts that the sender knows only by digest.
     StateRequest(Vec<Ipv4Addr>),
-    /// The answer to that.
+    /// Response to a `StateRequest`.
     StateResponse(Vec<MemberState>),
-    /// Tells the node that would succeed that the owner does not answer.
+    /// Reports an unresponsive owner to the node that would succeed it.
     Vote(Vote),
-    /// Tells of requests that crash their targets.
+    /// Updates about requests that crash their targets.
     Crashes(Vec<CrashUpdate>),
-    /// Signals of targets.
+    /// Draining and rate-limit signals of targets.
     Signals(Vec<SignalUpdate>),
 }
 
-/// One node's vote against an owner that does not answer it.
+/// A node's vote to replace an owner that does not answer it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct Vote {
-    /// Incarnation of the node that says so.
+    /// Incarnation of the voting node.
     pub(super) voter: u64,
-    /// Incarnation of the owner.
+    /// Incarnation of the unresponsive owner.
     pub(super) owner: u64,
 }
 
 impl Datagram {
     pub(super) fn encode(&self) -> Vec<u8> {
-        postcard::to_stdvec(self).expect("a datagram serializes")
+        postcard::to_stdvec(self).expect("datagram must serialize")
     }
 
-    /// Reads a datagram; `None` where it can't be read.
+    /// Decodes a datagram; `None` if it is malformed.
     pub(super) fn decode(bytes: &[u8]) -> Option<Self> {
         postcard::from_bytes(bytes).ok()
     }
--- a/crates/azuresaddle-edge/src/control/members.rs
+++ b/crates/azuresaddle-edge/src/control/members.rs
@@ -1,7 +1,8 @@
-//! Which nodes are alive, and which of them places streams.
+//! Membership: failure detection and choice of the owner, the node that places streams.
 //!
-//! A small fleet exchanges heartbeats between all nodes. In a larger one each node sends to a few
-//! partners, who pass on what they heard, so that its messages don't grow with the fleet.
+//! In a small fleet all nodes exchange heartbeats (full mesh). In a larger one each node sends
+//! heartbeats to a few gossip peers, which relay what they have received, so that the number of
+//! messages per node does not grow with the fleet.
 
 use std::cmp::Reverse;
 use std::collections::HashMap;
@@ -17,76 +18,79 @@
 use super::heartbeat::MemberState;
 use crate::snapshot::{LiveNode, NO_OWNER};
 
-/// Time between two looks at the members.
+/// Interval between two ticks of the control loop.
 pub(super) const TICK: Duration = Duration::from_millis(100);
 
-/// Most nodes that exchange heartbeats with all others.
+/// Maximum fleet size for a full mesh of heartbeats.
 const MAX_MESH: usize = 12;
 
-/// Silence after which a node of a small fleet counts as gone: four lost heartbeats, so that the
-/// loss of single datagrams moves nothing.
+/// Time without a heartbeat after which a node of a small fleet is considered failed: four lost
+/// heartbeats, so that single lost datagrams have no effect.
 const MESH_FAILURE_TIMEOUT: Duration = Duration::from_millis(450);
 
-/// Silence after which a node of a larger fleet counts as gone: many rounds, since a digest takes several hops and
-/// may be crowded out on the way.
+/// Time without a heartbeat after which a node of a larger fleet is considered failed. It covers
+/// many gossip rounds, since a digest takes several hops and may be displaced by others on the way.
 const GOSSIP_FAILURE_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// Nodes up to which that silence holds; beyond, each is heard of less often, and the silence grows
-/// with the fleet.
+/// Fleet size up to which `GOSSIP_FAILURE_TIMEOUT` applies. In larger fleets each node is heard
+/// from less often, and the timeout grows in proportion to the fleet.
 const GOSSIP_TIMEOUT_NODES: usize = 250;
 
-/// Silence after which a node is forgotten.
+/// Time without a heartbeat after which a node is removed from the member list.
 const MEMBER_RETENTION: Duration = Duration::from_secs(20);
 
-/// Delay of the own clock above which silence says nothing, since this process did not run.
+/// Tick delay above which a missing heartbeat does not count, since this process itself was
+/// stalled.
 const STALL_THRESHOLD: Duration = Duration::from_millis(250);
 
-/// Nodes of a larger fleet that follow the store for all.
+/// Number of nodes of a larger fleet that watch the store on behalf of all.
 const WATCHERS: usize = 4;
 
-/// Fewest nodes that must say that the store answers them before others leave it alone.
+/// Minimum number of other nodes with a working watch before further nodes stop watching.
 const MIN_WATCHING: usize = 2;
 
-/// Nodes that follow the store at once where too few are answered: enough that several reach a store that
-/// turns a third of the nodes away.
+/// Number of watchers when too few nodes get answers from the store: enough for several to reach a
+/// store that rejects a third of the nodes.
 const STANDBY_WATCHERS: usize = 16;
 
-/// Most nodes that follow the store: a store that is down is not to be met by all of a large fleet.
+/// Maximum number of watchers, so that a store that is down does not receive calls from every node
+/// of a large fleet.
 const MAX_WATCHERS: usize = 64;
 
-/// Time after which twice as many nodes try.
+/// Interval after which the number of watchers doubles while too few get answers.
 const WATCHERS_DOUBLE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Time after its start for which a node does not watch the store that it has just read: by then it knows
-/// whether others do.
+/// Delay after the start of the process before it watches the store, which it has just read. By
+/// then it knows whether other nodes watch.
 const WATCH_DELAY: Duration = Duration::from_millis(500);
 
-/// Another node.
+/// Another node of the fleet.
 #[derive(Clone, Debug)]
 pub(super) struct Member {
     pub(super) state: MemberState,
-    /// Number of its latest heartbeat that was heard of, by its state or by a heartbeat digest.
+    /// Counter of its latest known heartbeat, from a full state or a digest.
     pub(super) last_counter: u32,
     pub(super) heard_at: Instant,
-    /// When it came, restarted, or began or ceased to take callers or to follow the store.
+    /// When it joined, restarted, or changed whether it accepts callers or watches the store.
     pub(super) changed_at: Instant,
 }
 
-/// The other nodes by host.
+/// This node's state and the known other nodes, by host.
 #[derive(Debug)]
 pub(super) struct Members {
     pub(super) own: MemberState,
     peer_port: u16,
     pub(super) seeds: Vec<Ipv4Addr>,
     pub(super) members: HashMap<Ipv4Addr, Member>,
-    /// When this process began to listen.
+    /// When this process started listening.
     pub(super) started_at: Instant,
     last_tick_at: Instant,
     pub(super) ticks: u32,
     pub(super) failover: Failover,
-    /// Since when too few nodes are answered by the store.
+    /// Since when too few nodes get answers from the store.
     unwatched_since: Option<Instant>,
-    /// Chooses partners; seeded by the incarnation, so that tests repeat.
+    /// Random generator for the choice of peers; seeded with the incarnation to make tests
+    /// reproducible.
     pub(super) rng: SmallRng,
 }
 
@@ -106,23 +110,23 @@
         }
     }
 
-    /// Changes what the next own heartbeat says.
+    /// Modifies this node's own state, which the next heartbeat announces.
     pub(super) fn update_own(&mut self, update: impl FnOnce(&mut MemberState)) {
         update(&mut self.own);
     }
 
-    /// Random number of this process.
+    /// Incarnation of this process.
     pub(super) fn incarnation(&self) -> u64 {
         self.own.incarnation
     }
 
-    /// Whether a heartbeat of that process came before.
+    /// Returns whether a heartbeat of that process has been received before.
     pub(super) fn knows(&self, ip: Ipv4Addr, incarnation: u64) -> bool {
         let known = self.members.get(&ip);
         known.is_some_and(|m| m.state.incarnation == incarnation)
     }
 
-    /// Whether this node is stopping.
+    /// Returns whether this node is shutting down.
     pub(super) fn is_leaving(&self) -> bool {
         self.own.is_leaving
     }
@@ -148,10 +152,10 @@
         self.members.values().filter(move |m| self.is_alive(m, now))
     }
 
-    /// Notes the passing of time; true where a node may have fallen silent.
+    /// Advances failure detection; true if the set of live nodes or the owner may have changed.
     ///
-    /// After a stall of this process every node gets the time again, since their heartbeats may
-    /// wait unread.
+    /// After a stall of this process the timeout of every node is extended by the delay, since
+    /// their heartbeats may still be unread.
     pub(super) fn on_tick(&mut self, now: Instant) -> bool {
         let late = now.saturating_duration_since(self.last_tick_at);
         if late > TICK + STALL_THRESHOLD {
@@ -172,8 +176,8 @@
         alive_changed || claimed || patience_ended
     }
 
-    /// Live nodes, this one among them, and the incarnation of the one that places streams; [`NO_OWNER`] in
-    /// a node that has just started and hears of no claim.
+    /// Returns the live nodes including this one, and the incarnation of the owner; [`NO_OWNER`] if
+    /// this node has just started and knows of no claim.
     pub(super) fn live_nodes(&self, now: Instant) -> (Vec<LiveNode>, u64) {
         let all = self.ranked(now);
         let owner = if self.awaits_claim(now, all[0]) {
@@ -190,9 +194,11 @@
         (nodes.collect(), owner)
     }
 
-    /// Live nodes, the best owner first: the latest to have claimed, else the oldest of the strongest. So
-    /// the owner changes only when it goes or several nodes agree, and a restarted node does not take
-    /// over from one that knows the running streams.
+    /// Returns the live nodes, ranked by suitability as owner: nodes that accept callers come
+    /// first, ordered by highest claim term, then CPU share, then age.
+    ///
+    /// So the owner changes only when it leaves or several nodes agree, and a restarted node does
+    /// not take over from one that knows the running streams.
     pub(super) fn ranked(&self, now: Instant) -> Vec<&MemberState> {
         let mut all: Vec<&MemberState> = self.alive(now).map(|m| &m.state).collect();
         all.push(&self.own);
@@ -210,10 +216,11 @@
         all
     }
 
-    /// Whether this node should follow the store itself: all do in a small fleet, a few in a larger one,
-    /// and more where too few of these are answered.
+    /// Returns whether this node should watch the store: all nodes of a small fleet do, a few of a
+    /// larger one, and more if too few of these get answers.
     ///
-    /// With all nodes of a large fleet trying at once a store that is down gets several times the calls.
+    /// If all nodes of a large fleet retried at once, a store that is down would receive several
+    /// times the calls.
     pub(super) fn should_watch(&mut self, now: Instant) -> bool {
         if now.saturating_duration_since(self.started_at) < WATCH_DELAY {
             return false;
@@ -232,7 +239,7 @@
         rank.is_some_and(|r| r < most)
     }
 
-    /// How many nodes follow the store now, the best owners first.
+    /// Returns how many of the highest-ranked nodes may watch the store.
     fn max_watchers(&mut self, now: Instant, is_watched: bool) -> usize {
         if is_watched {
             self.unwatched_since = None;
@@ -246,19 +253,20 @@
         doubled.min(MAX_WATCHERS)
     }
 
-    /// The latest configuration that a live node has in force; 0 where none has any.
+    /// Latest configuration version in force on another live node; 0 if there is none.
     pub(super) fn newest_configuration(&self, now: Instant) -> u64 {
         let versions = self.alive(now).map(|m| m.state.configuration);
         versions.max().unwrap_or(0)
     }
 
-    /// Whether a live node has served for longer than a fleet takes to start.
+    /// Returns whether another live node has been serving for longer than a fleet takes to start.
     pub(super) fn has_settled(&self, now: Instant) -> bool {
         self.alive(now).any(|m| m.state.is_settled)
     }
 
-    /// Address of a live node that knows more, one of the own failure domain where there is one: what is
-    /// fetched may be large, and the way to other domains is narrow and dear.
+    /// Chooses a random live node that satisfies the predicate and returns its peer address. Nodes
+    /// of the own failure domain take precedence: responses may be large, and bandwidth between
+    /// domains is scarce and expensive.
     pub(super) fn choose_peer(
         &mut self,
         now: Instant,
--- a/crates/azuresaddle-edge/src/control/mod.rs
+++ b/crates/azuresaddle-edge/src/control/mod.rs
@@ -1,4 +1,4 @@
-//! Control: what this node believes of the configuration, the targets and the other nodes.
+//! The control plane: this node's view of the configuration, the targets and the other nodes.
 
 mod actor;
 mod crash_writer;
--- a/crates/azuresaddle-edge/src/control/publish.rs
+++ b/crates/azuresaddle-edge/src/control/publish.rs
@@ -1,4 +1,4 @@
-//! Publishes to traffic what control believes.
+//! Publishes snapshots of the control plane's state to the data plane.
 
 use std::sync::Arc;
 
@@ -10,7 +10,7 @@
 use crate::snapshot::{Snapshot, TargetSet};
 
 impl<N: Network> Control<N> {
-    /// Publishes what has changed, and tells partners what is new here.
+    /// Publishes the changes, and sends heartbeats to gossip peers if this node's state changed.
     pub(super) async fn publish_and_gossip(&mut self) {
         self.has_changes = false;
         let now = Instant::now();
@@ -18,13 +18,13 @@
         let claimed = self.members.claim_if_first(now);
         self.announce_claim(now, claimed).await;
         if self.publish() {
-            // What this node learned spreads at once, not with the next round.
+            // Spread the new state at once instead of with the next round.
             let peers = self.members.gossip_peers();
             self.send_heartbeats(Instant::now(), &peers).await;
         }
     }
 
-    /// Publishes what is believed now; true where this node has something to tell the others.
+    /// Publishes a snapshot; true if other nodes should learn of this node's new state.
     fn publish(&mut self) -> bool {
         let version = self.version();
         let position = self.registry.position();
--- a/crates/azuresaddle-edge/src/control/published_targets.rs
+++ b/crates/azuresaddle-edge/src/control/published_targets.rs
@@ -1,4 +1,4 @@
-//! What the registry publishes of its targets, and who drains by its own announcement.
+//! The registry's published view of the targets, and targets that announced that they are draining.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -10,19 +10,19 @@
 use super::target_record::TargetRecord;
 use crate::snapshot::TargetSet;
 
-/// What other parts and other nodes are told of the targets; cheap to clone.
+/// The targets as published to the data plane and to other nodes; cheap to clone.
 #[derive(Clone, Debug)]
 pub(super) struct PublishedTargets {
-    /// Targets that take new work.
+    /// Targets that accept new work.
     pub(super) targets: Arc<TargetSet>,
-    /// All that is known, for other nodes.
+    /// All records, for other nodes.
     pub(super) records: Arc<Vec<Arc<TargetRecord>>>,
-    /// Hash of the targets that are believed in.
+    /// Hash of the targets with an entry.
     pub(super) hash: u32,
 }
 
 impl Registry {
-    /// What other parts and other nodes are told, built anew only after a change.
+    /// Returns the published view, rebuilt only after a change.
     pub(super) fn published(&mut self) -> PublishedTargets {
         if let Some(published) = &self.published {
             return published.clone();
@@ -41,13 +41,13 @@
         published
     }
 
-    /// Notes that a start of a target takes no new work any more, by its own announcement.
+    /// Records that a start of a target has announced that it accepts no more work.
     pub(super) fn on_draining(&mut self, target: &HostName, started: TargetStart) {
         self.draining.insert(target.clone(), started);
         self.published = None;
     }
 
-    /// Forgets such announcements, except those of targets that `keep` names.
+    /// Drops these announcements, except those of targets that `keep` selects.
     pub(super) fn retain_draining(&mut self, keep: impl Fn(&HostName) -> bool) {
         self.draining.retain(|target, _| keep(target));
     }
@@ -62,7 +62,7 @@
         self.draining.get(&target.id) == Some(&target.started)
     }
 
-    /// Targets that take new work.
+    /// Targets that accept new work.
     pub(super) fn targets(&self) -> TargetSet {
         let entries = self
             .entries
@@ -71,10 +71,10 @@
         TargetSet::new(entries.filter(|e| e.state == TargetState::Ready && !self.is_draining(e)))
     }
 
-    /// Hash of the targets that are believed in.
+    /// Hash of the targets with an entry.
     ///
-    /// Two nodes that heard of the same changes can still differ for a while, where one takes a
-    /// removal for a lapse of an outage; the hash shows it.
+    /// Two nodes that know the same changes can still differ for a while if one of them treats a
+    /// removal as a lapse caused by an outage; the hash reveals this.
     fn hash(&self) -> u32 {
         let mut hash = 0;
         for held in self.entries.values() {
@@ -83,7 +83,7 @@
             };
             let state = u8::from(entry.state == TargetState::Ready);
             let key = format!("{}/{state}/{}", held.record.key(), entry.started.0);
-            // Addition makes the order of the entries irrelevant.
+            // Addition makes the hash independent of the order of the entries.
             hash = u32::wrapping_add(hash, xxhash_rust::xxh3::xxh3_64(key.as_bytes()) as u32);
         }
         hash
--- a/crates/azuresaddle-edge/src/control/registry.rs
+++ b/crates/azuresaddle-edge/src/control/registry.rs
@@ -1,4 +1,5 @@
-//! Targets by their entries in the store, and what the store's outages do to them.
+//! Registry of targets, by their entries in the store, with protection against outages and
+//! rollbacks of the store.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -13,64 +14,66 @@
 use super::registry_entry::RegistryEntry;
 use super::target_record::{TargetRecord, TargetUpdate};
 
-/// Time for which an entry that the store has lost, in an outage or by going back to an older copy, is still believed:
-/// a target that lives registers again within about two seconds.
+/// Grace period for which an entry is kept that the store lost in an outage or a rollback to an
+/// older copy: a live target registers again within about two seconds.
 const REMOVAL_GRACE: Duration = Duration::from_millis(2200);
 
-/// Time for which a removed entry is remembered, so that neither older updates of it nor an older copy of the store
-/// bring it back.
+/// Time for which a removal is remembered, so that neither older updates nor an older copy of the
+/// store restore the entry.
 const TOMBSTONE_TTL: Duration = Duration::from_secs(60);
 
-/// Entries by key.
+/// Target entries by key.
 #[derive(Debug, Default)]
 pub(super) struct Registry {
     pub(super) entries: HashMap<Arc<str>, RegistryEntry>,
-    /// Position of the latest change that is known.
+    /// Position of the latest known change.
     position: StorePosition,
-    /// Position up to which this node knows all changes from the store itself.
+    /// Position up to which this node has read all changes from the store itself.
     read_up_to: StorePosition,
-    /// The latest copy of the store that is known of.
+    /// Latest known era of the store.
     era: StoreEra,
-    /// Until when removals are taken for lapses of an outage; `None` once all that happened in it is
-    /// known.
+    /// End of the period in which removals are treated as lapses caused by an outage; `None` once
+    /// all changes of the outage are known.
     outage_grace_until: Option<Instant>,
-    /// Until when what the store's present copy lacks is believed.
+    /// End of the period in which entries are kept that the store lost in its latest rollback.
     rollback_grace_until: Option<Instant>,
-    /// Until when what the last listing lacked may be a lapse that others still believe in.
+    /// End of the period in which an entry that the last listing lacked may be a lapse that other
+    /// nodes still tolerate.
     listing_grace_until: Option<Instant>,
-    /// Starts of targets that announced in an answer that they drain, whatever their entries say: an unavailable or slow
-    /// store does not delay it.
+    /// Starts of targets that announced in an answer that they are draining, whatever their entries
+    /// say: an unavailable or slow store does not delay this.
     pub(super) draining: HashMap<HostName, TargetStart>,
-    /// What was published last; `None` once something has changed. Building it anew takes
-    /// milliseconds at 3,000 targets, and membership changes far more often than they do.
+    /// Cached result of `published`; `None` after a change. Rebuilding it takes milliseconds with
+    /// 3,000 targets, and membership changes far more often than the targets do.
     pub(super) published: Option<PublishedTargets>,
 }
 
 impl Registry {
-    /// Position of the latest change that is known.
+    /// Position of the latest known change.
     pub(super) fn position(&self) -> StorePosition {
         self.position
     }
 
-    /// Notes that the store answers again.
+    /// Starts the grace period after an outage of the store.
     pub(super) fn on_store_reconnected(&mut self, now: Instant) {
         self.outage_grace_until = Some(now + REMOVAL_GRACE);
     }
 
-    /// Notes that all changes of an outage are known: what is removed from now on has left.
+    /// Ends the grace period once all changes of an outage are known; later removals are genuine.
     ///
-    /// HeldEntry like a lapse, the removal of a target that left right after a node had regained the store
-    /// would be believed so late that work is sent there past its time.
+    /// If they were still treated as lapses, a target that leaves right after the node has
+    /// reconnected to the store would receive work after its departure.
     pub(super) fn on_caught_up(&mut self) {
         self.outage_grace_until = None;
     }
 
-    /// The latest copy of the store that is known of.
+    /// Latest known era of the store.
     pub(super) fn era(&self) -> StoreEra {
         self.era
     }
 
-    /// Notes which copy of the store answers. What a later one than before lacks is believed for a while.
+    /// Records the era of the store. When a later era begins, entries that the store has lost are
+    /// kept for the grace period.
     pub(super) fn on_era(&mut self, now: Instant, era: StoreEra) {
         if era <= self.era {
             return;
@@ -79,17 +82,17 @@
         self.rollback_grace_until = Some(now + REMOVAL_GRACE);
     }
 
-    /// Notes up to where this node itself has followed the store.
+    /// Records the position up to which this node has read the store itself.
     pub(super) fn on_read_up_to(&mut self, at: StorePosition) {
         self.read_up_to = self.read_up_to.max(at);
     }
 
-    /// Notes that all is known that another node knew.
+    /// Records that this node knows all changes that another node knew at that position.
     pub(super) fn on_synced(&mut self, at: StorePosition) {
         self.position = self.position.max(at);
     }
 
-    /// Takes one change; true where the targets are different now.
+    /// Applies one change from the store; true if the targets changed.
     pub(super) fn apply(&mut self, now: Instant, item: Item) -> bool {
         let (record, error) = TargetRecord::from_item(item);
         if record.is_removed() {
@@ -101,7 +104,7 @@
         self.merge(now, record)
     }
 
-    /// Takes what another node knows; true where the targets are different now.
+    /// Applies a record of another node; true if the targets changed.
     pub(super) fn apply_update(&mut self, now: Instant, update: TargetUpdate) -> bool {
         let (record, _) = TargetRecord::from_update(update);
         let key = Arc::clone(record.key());
@@ -109,14 +112,15 @@
         let position = record.position();
         let changed = self.merge(now, record);
         if is_unknown && position <= self.read_up_to {
-            // This node has read the store since, and it was not there.
+            // This node has read the store at a later position, and the entry was missing.
             return self.remove_if_absent_from_store(now, &key, position) | changed;
         }
         changed
     }
 
-    /// Gives up an entry that the store did not hold when this node read it, after the grace where it may have lapsed in
-    /// an outage, or only an earlier copy of the store held it.
+    /// Removes an entry that was missing when this node read the store. The removal takes effect
+    /// after the grace period if the entry may have lapsed in an outage or was last seen before a
+    /// rollback.
     fn remove_if_absent_from_store(
         &mut self,
         now: Instant,
@@ -147,15 +151,15 @@
             return has_entry;
         };
         if record.entry().is_some() {
-            // The store has the entry again.
+            // The store contains the entry again.
             entry
                 .pending_removal
                 .take_if(|(_, at)| record.position() > *at);
         }
         let merged = entry.record.merged(&record);
         if record.entry().is_some() && record.number() < merged.number() {
-            // A write that was carried out long after it was sent, or an older copy of the store.
-            tracing::debug!(part = "control", key = %record.key(), "older target entry ignored");
+            // The write was delayed on its way to the store, or the store has been rolled back.
+            tracing::debug!(part = "control", key = %record.key(), "outdated target entry ignored");
         }
         if merged.is_same(&entry.record) {
             return false;
@@ -167,11 +171,12 @@
     fn log_unreadable(&self, record: &TargetRecord, error: &DecodeError) {
         let known = self.entries.get(record.key());
         if known.is_none_or(|h| !h.record.is_unreadable()) {
-            tracing::warn!(part = "control", %error, "target entry not readable");
+            tracing::warn!(part = "control", %error, "target entry could not be decoded");
         }
     }
 
-    /// Takes a removal; one that may be a lapse of an outage is believed later.
+    /// Applies a removal; one that may be a lapse caused by an outage takes effect after the grace
+    /// period.
     fn remove(&mut self, now: Instant, key: &str, at: StorePosition) -> bool {
         self.on_era(now, at.era);
         self.position = self.position.max(at);
@@ -205,7 +210,7 @@
         entry.replace(now, removed)
     }
 
-    /// Takes a full listing that was read at a position; true where the targets are different now.
+    /// Applies a complete listing that was read at a position; true if the targets changed.
     pub(super) fn apply_listing(
         &mut self,
         now: Instant,
@@ -231,7 +236,7 @@
         changed
     }
 
-    /// Until when an entry is believed that a listing lacks.
+    /// Returns until when an entry is kept that a listing lacks.
     fn grace_for_missing(&self, now: Instant, key: &str, era: StoreEra) -> Option<Instant> {
         let known = self.entries.get(key).map(|h| h.record.position().era);
         let grace = if known.is_some_and(|known| known < era) {
@@ -242,13 +247,14 @@
         grace.filter(|until| now < *until)
     }
 
-    /// Gives up entries whose grace is over; true where the targets are different now.
+    /// Applies removals whose grace period is over; true if the targets changed.
     pub(super) fn expire_removals(&mut self, now: Instant) -> bool {
         let mut changed = false;
         let read_up_to = self.read_up_to;
         for entry in self.entries.values_mut() {
             if let Some((_, at)) = entry.pending_removal.take_if(|(until, _)| now >= *until) {
-                // It is not there up to here; others take a later change for an update.
+                // The entry is missing up to the position read so far; other nodes treat a change
+                // at a later position as an update.
                 let at = if read_up_to.era == at.era {
                     at.max(read_up_to)
                 } else {
--- a/crates/azuresaddle-edge/src/control/registry_entry.rs
+++ b/crates/azuresaddle-edge/src/control/registry_entry.rs
@@ -1,4 +1,4 @@
-//! One entry of a target, and whether its removal is believed yet.
+//! A registry entry: a target's record and its pending removal.
 
 use std::sync::Arc;
 
@@ -8,24 +8,24 @@
 
 use super::target_record::TargetRecord;
 
-/// What is known of one entry.
+/// A target's record in the registry.
 #[derive(Debug)]
 pub(super) struct RegistryEntry {
     pub(super) record: Arc<TargetRecord>,
-    /// A removal that is believed later, and when.
+    /// A removal that takes effect after the grace period: when, and its position in the store.
     pub(super) pending_removal: Option<(Instant, StorePosition)>,
-    /// When the removal was learned.
+    /// When this node learned of the removal.
     pub(super) removed_at: Option<Instant>,
 }
 
 impl RegistryEntry {
-    /// Whether the target takes new work, by its entry.
+    /// Returns whether the entry says that the target accepts new work.
     pub(super) fn is_ready(&self) -> bool {
         let entry = self.record.entry();
         entry.is_some_and(|e| e.state == TargetState::Ready)
     }
 
-    /// Takes a later record; true where what it says of the target is different.
+    /// Replaces the record; true if the target's state changed.
     pub(super) fn replace(&mut self, now: Instant, record: TargetRecord) -> bool {
         if record.is_removed() {
             self.pending_removal = None;
--- a/crates/azuresaddle-edge/src/control/signal_records.rs
+++ b/crates/azuresaddle-edge/src/control/signal_records.rs
@@ -1,4 +1,5 @@
-//! Signals of targets as this node knows them: which ones drain, and which ones limit their rate.
+//! Signals of targets that this node knows: which targets are draining, and which limit their
+//! request rate.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -10,23 +11,26 @@
 use crate::signals::{ObservedSignals, SignalUpdate};
 use crate::snapshot::TargetSet;
 
-/// Time after a limit was seen before a request without one can lift it: answers overtake each other on their way.
+/// Time after a limit was seen before an answer without one can lift it: answers may arrive out of
+/// order.
 const REORDER_WINDOW: Duration = Duration::from_millis(50);
 
-/// Time after which an unchanged limit is sent again: a node that was partitioned may have missed it.
+/// Interval after which an unchanged signal is gossiped again: a node that was partitioned may have
+/// missed it.
 const REGOSSIP_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Time for which the signals of a target without an entry are remembered: its entry may only have lapsed.
+/// Time for which the signals of a target without an entry are kept: the entry may only have
+/// lapsed.
 const SIGNAL_RETENTION: Duration = Duration::from_secs(600);
 
-/// What has changed for a target.
+/// A change in the signals of a target.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum SignalChange {
-    /// It is draining.
+    /// The target is draining.
     Draining,
-    /// It has a limit, or a different one than before.
+    /// The target has a new or a different rate limit.
     Limited(RateLimit),
-    /// It has no limit any more.
+    /// The target has lifted its rate limit.
     Unlimited,
 }
 
@@ -36,11 +40,11 @@
     started: TargetStart,
     is_draining: bool,
     rate_limit: Option<RateLimit>,
-    /// When the limit, or its end, was announced last.
+    /// When the limit, or the end of it, was last announced.
     limit_seen_at: Option<Instant>,
-    /// When it was last sent to other nodes.
+    /// When these signals were last gossiped.
     gossiped_at: Option<Instant>,
-    /// When anything was learned last.
+    /// When these signals were last updated.
     seen_at: Instant,
 }
 
@@ -51,7 +55,7 @@
 }
 
 impl SignalRecords {
-    /// Takes the signals of an answer and returns what has changed.
+    /// Records the signals of an answer and returns the changes.
     pub(super) fn on_observed(&mut self, observed: &ObservedSignals) -> Vec<SignalChange> {
         let mut changes = Vec::new();
         let Some(record) = self.record(observed.seen_at, &observed.target, observed.started) else {
@@ -70,7 +74,7 @@
         changes
     }
 
-    /// Takes an update from another node and returns what has changed.
+    /// Records an update from another node and returns the changes.
     pub(super) fn on_gossip(&mut self, now: Instant, update: &SignalUpdate) -> Vec<SignalChange> {
         let mut changes = Vec::new();
         let Some(record) = self.record(now, &update.target, update.started) else {
@@ -86,7 +90,8 @@
         changes
     }
 
-    /// Whether other nodes should get an update on a target: something has changed, or the last one was long ago.
+    /// Returns whether to gossip a target's signals: they have changed, or were last sent long ago.
+    /// Marks them as sent if so.
     pub(super) fn should_gossip(
         &mut self,
         now: Instant,
@@ -106,19 +111,19 @@
         should_gossip
     }
 
-    /// What is known of a target now, for other nodes.
+    /// Returns a target's signals as an update for other nodes.
     pub(super) fn update_for(&self, now: Instant, target: &HostName) -> Option<SignalUpdate> {
         let record = self.records.get(target)?;
         Some(record.update(now, target))
     }
 
-    /// All records, for a node that has just started.
+    /// Returns updates for all targets, for a node that has just started.
     pub(super) fn all(&self, now: Instant) -> Vec<SignalUpdate> {
         let all = self.records.iter();
         all.map(|(id, r)| r.update(now, id)).collect()
     }
 
-    /// Limits in force of those targets.
+    /// Current rate limits of the given targets.
     pub(super) fn rate_limits(&self, targets: &TargetSet) -> HashMap<HostName, RateLimit> {
         let limited = self.records.iter().filter_map(|(id, record)| {
             let limit = record.rate_limit?;
@@ -128,19 +133,19 @@
         limited.collect()
     }
 
-    /// Whether there is a record of a target.
+    /// Returns whether there is a record of the target.
     pub(super) fn knows(&self, target: &HostName) -> bool {
         self.records.contains_key(target)
     }
 
-    /// Forgets targets that have been gone for long.
+    /// Removes records that are older than `SIGNAL_RETENTION` and not known to `is_known`.
     pub(super) fn forget_old(&mut self, now: Instant, is_known: impl Fn(&HostName) -> bool) {
         let is_recent =
             |r: &SignalRecord| now.saturating_duration_since(r.seen_at) < SIGNAL_RETENTION;
         self.records.retain(|id, r| is_recent(r) || is_known(id));
     }
 
-    /// The record of a start; `None` where a later start is known.
+    /// Returns the record of a start; `None` if a later start is known.
     fn record(
         &mut self,
         now: Instant,
@@ -176,7 +181,7 @@
         (!was_draining).then_some(SignalChange::Draining)
     }
 
-    /// Takes a limit, or its end, unless a later announcement is known.
+    /// Records a limit, or the end of it, unless a later announcement is known.
     fn set_limit(&mut self, seen_at: Instant, limit: Option<RateLimit>) -> Option<SignalChange> {
         if self.limit_seen_at.is_some_and(|at| seen_at < at) {
             return None;
@@ -187,7 +192,8 @@
         (before != limit).then_some(change)
     }
 
-    /// Whether an answer without a limit lifts the known one: its request was sent after that was announced.
+    /// Returns whether an answer without a limit lifts the known one: its request was sent after
+    /// the limit was announced.
     fn lifts_limit(&self, observed: &ObservedSignals) -> bool {
         let named_at = self.limit_seen_at.filter(|_| self.rate_limit.is_some());
         observed.is_served && named_at.is_some_and(|at| observed.sent_at >= at + REORDER_WINDOW)
--- a/crates/azuresaddle-edge/src/control/signals.rs
+++ b/crates/azuresaddle-edge/src/control/signals.rs
@@ -1,4 +1,4 @@
-//! Handles the targets' signals: keeps them, logs changes, and gossips them.
+//! Handles signals of targets: records them, logs changes, and gossips them.
 
 use std::net::Ipv4Addr;
 
@@ -12,17 +12,20 @@
 use super::signal_records::SignalChange;
 use crate::signals::{ObservedSignals, SignalUpdate};
 
-/// Most signals in a datagram, each of some 40 bytes beside the target's name.
+/// Maximum number of signals in a datagram; each takes about 40 bytes in addition to the target's
+/// name.
 pub(super) const MAX_SIGNALS: usize = 20;
 
-/// Targets whose signals are to be gossiped. The update is made when it is sent, since it holds the signal's age.
+/// Queue of targets whose signals are to be gossiped. The update is created when it is sent, since
+/// it contains the age of the signal.
 pub(super) type SignalGossip = GossipQueue<HostName, MAX_SIGNALS>;
 
-/// Ticks between two looks for targets that are gone.
+/// Ticks between two cleanups of signals.
 const TICKS_PER_CLEANUP: u32 = 100;
 
 impl<N: Network> Control<N> {
-    /// Takes the signals of an answer that this node has relayed, and gossips them; true if something has changed.
+    /// Records the signals of an answer that this node has relayed, and gossips them; true if
+    /// something changed.
     pub(super) async fn on_signals_observed(&mut self, observed: &ObservedSignals) -> bool {
         let changes = self.signals.on_observed(observed);
         self.apply_signal_changes(&observed.target, observed.started, &changes);
@@ -37,7 +40,7 @@
         has_changed
     }
 
-    /// Takes signals from another node, and passes on what is new; true if something has changed.
+    /// Records signals from another node, and relays new ones; true if something changed.
     pub(super) async fn on_signal_gossip(&mut self, updates: &[SignalUpdate]) -> bool {
         let now = Instant::now();
         let mut has_changed = false;
@@ -83,7 +86,7 @@
         }
     }
 
-    /// Sends the next round of signals.
+    /// Gossips the next round of signals.
     pub(super) async fn gossip_signals(&mut self) {
         let now = Instant::now();
         let mut targets = self.signal_gossip.next_round();
@@ -115,7 +118,7 @@
         let mut waiting = vec![updates];
         while let Some(mut updates) = waiting.pop() {
             let bytes = Datagram::Signals(updates.clone()).encode();
-            // Long names of targets take several datagrams.
+            // Signals with long target names take several datagrams.
             if bytes.len() > MAX_BYTES && updates.len() > 1 {
                 waiting.push(updates.split_off(updates.len() / 2));
                 waiting.push(updates);
@@ -127,7 +130,7 @@
         }
     }
 
-    /// Forgets targets that are gone, now and then.
+    /// Removes the signals of targets that no longer exist, at intervals.
     pub(super) fn expire_signals(&mut self, now: Instant) {
         if self.members.ticks.is_multiple_of(TICKS_PER_CLEANUP) {
             let known = self.registry.names();
--- a/crates/azuresaddle-edge/src/control/start_gate.rs
+++ b/crates/azuresaddle-edge/src/control/start_gate.rs
@@ -1,7 +1,7 @@
-//! When a node that has just started begins to serve.
+//! Decides when a node that has just started begins to serve.
 //!
-//! Answers the pattern of a node that starts while the store has gone back to an older copy: what it reads there, a
-//! configuration that is no longer in force and targets that have left, the others know to be old.
+//! Guards against a node that starts while the store has been rolled back to an older copy. The
+//! configuration and the targets that it reads there may be outdated, which the other nodes know.
 
 use std::time::Duration;
 
@@ -10,41 +10,44 @@
 
 use super::actor::Control;
 
-/// Time after its start that a node gives others to make themselves known: a round trip to its seeds, with a
-/// datagram lost.
+/// Time after the start of the process that other nodes get to make themselves known: a round trip
+/// to the seeds, with one lost datagram.
 const DISCOVERY_WAIT: Duration = Duration::from_millis(150);
 
-/// Time after its start for which a node waits for the targets that others know. Longer, its callers would be better
-/// served by what it has.
+/// Time after the start of the process for which it waits for the targets that other nodes know.
+/// After a longer wait its callers would be better served with what it has.
 const SYNC_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Time for which a node has a configuration in force before others ask it for everything when they start: nodes that
-/// start together have nothing to tell each other, and hundreds would ask the first.
+/// Time after which a node with a configuration counts as settled, so that starting nodes fetch
+/// everything from it. Nodes that start together have nothing to offer each other, and hundreds of
+/// them would ask the first one.
 const SETTLED_AFTER: Duration = Duration::from_secs(3);
 
-/// What a node holds back until it knows that nobody knows better.
+/// State of a starting node: whether it may put its first configuration in force.
 #[derive(Debug, Default)]
 pub(super) struct StartGate {
-    /// Whether it has all that another node knew of the targets.
+    /// Whether it has fetched all targets from another node.
     pub(super) is_synced: bool,
-    /// The latest configuration that it has read, by its version.
+    /// The latest deferred configuration, with its version.
     candidate: Option<(u64, Vec<u8>)>,
-    /// When the first configuration was in force.
+    /// When the first configuration came into force.
     pub(super) serving_since: Option<Instant>,
 }
 
-/// What a node that starts knows of the others.
+/// What a starting node knows of the other nodes.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PeerView {
-    /// The latest configuration that another node has in force; 0 for none.
+    /// Latest configuration version in force on another node; 0 if there is none.
     pub(super) newest: u64,
-    /// Whether one of them has served for a while, so that it knows what the store may have forgotten.
+    /// Whether one of them has been serving for a while, so that it knows what the store may have
+    /// lost.
     pub(super) has_settled: bool,
 }
 
 impl StartGate {
-    /// Whether a configuration may be the first in force, in a process of some age: none that is older than another
-    /// node's, and not without knowing which targets have left.
+    /// Returns whether a configuration may be the first in force, in a process of the given age: it
+    /// must not be older than that of any other node, and the node must know which targets have
+    /// left.
     pub(super) fn admits(&self, age: Duration, view: PeerView, version: u64) -> bool {
         let has_waited = if view.has_settled {
             self.is_synced || age >= SYNC_TIMEOUT
@@ -56,7 +59,7 @@
 }
 
 impl<N: Network> Control<N> {
-    /// Whether the first configuration may be in force here.
+    /// Returns whether this node may put its first configuration in force.
     pub(super) fn may_start_serving(&self, now: Instant, version: u64) -> bool {
         let age = now.saturating_duration_since(self.members.started_at);
         let view = PeerView {
@@ -66,7 +69,7 @@
         self.start_gate.admits(age, view, version)
     }
 
-    /// Tells others once this node has served for a while.
+    /// Announces to other nodes once this node has been serving for a while.
     pub(super) fn update_settled(&mut self, now: Instant) {
         let Some(serving_since) = self.start_gate.serving_since else {
             return;
@@ -75,7 +78,8 @@
         self.members.update_own(|own| own.is_settled = is_settled);
     }
 
-    /// Keeps a configuration that may not be in force yet, unless a later one waits.
+    /// Keeps a configuration that may not come into force yet, unless a later one is deferred
+    /// already.
     pub(super) fn defer_configuration(&mut self, version: u64, json: Vec<u8>) {
         let waiting = self.start_gate.candidate.as_ref();
         if waiting.is_none_or(|(known, _)| *known < version) {
@@ -83,23 +87,23 @@
         }
     }
 
-    /// Whether a configuration waits.
+    /// Returns whether a configuration is deferred.
     pub(super) fn has_deferred_configuration(&self) -> bool {
         self.start_gate.candidate.is_some()
     }
 
-    /// When what waits is to be looked at again, where nothing is heard meanwhile.
+    /// When to check a deferred configuration again if no message arrives earlier.
     pub(super) fn discovery_ends(&self) -> Instant {
         self.members.started_at + DISCOVERY_WAIT
     }
 
-    /// Looks again at what waits; true where it is in force now.
+    /// Checks the deferred configuration again; true if it is in force now.
     pub(super) fn retry_deferred_configuration(&mut self) -> bool {
         let candidate = self.start_gate.candidate.take();
         candidate.is_some_and(|(_, json)| self.on_configuration(json, "the store"))
     }
 
-    /// Whether everything is to be asked of a node that has served before.
+    /// Returns whether this node should fetch everything from a settled node.
     pub(super) fn needs_sync(&self) -> bool {
         self.configuration.is_none() && !self.start_gate.is_synced
     }
--- a/crates/azuresaddle-edge/src/control/store_events.rs
+++ b/crates/azuresaddle-edge/src/control/store_events.rs
@@ -1,4 +1,4 @@
-//! What control does with what the store tells.
+//! Handles events from the store.
 
 use std::sync::Arc;
 
@@ -10,11 +10,11 @@
 use super::store_watch::StoreEvent;
 
 impl<N: Network> Control<N> {
-    /// Takes what the store tells; true where others are to be told.
+    /// Handles a store event; true if there are changes to publish.
     pub(super) fn on_store(&mut self, event: StoreEvent) -> bool {
         let era = self.registry.position().era;
         let changed = self.on_store_event(event);
-        // Nodes that don't reach the store learn from this one that it has gone back.
+        // Nodes that cannot reach the store learn of a rollback from this one.
         changed || self.registry.position().era != era
     }
 
@@ -25,13 +25,13 @@
         }
         match event {
             StoreEvent::Reconnected => {
-                tracing::info!(part = "control", "store regained");
+                tracing::info!(part = "control", "store answers again");
                 self.is_store_lost = false;
                 self.registry.on_store_reconnected(now);
                 false
             }
             StoreEvent::Unreachable { reason } => {
-                tracing::warn!(part = "control", reason, "store lost");
+                tracing::warn!(part = "control", reason, "store stopped answering");
                 self.store_answered_at = None;
                 self.is_store_lost = true;
                 self.metrics.store_failures.inc();
@@ -85,7 +85,7 @@
         let configuration = match decode_configuration(&json) {
             Ok(configuration) => configuration,
             Err(e) => {
-                tracing::error!(part = "control", error = %e, "configuration refused");
+                tracing::error!(part = "control", error = %e, "invalid configuration rejected");
                 return false;
             }
         };
--- a/crates/azuresaddle-edge/src/control/store_watch.rs
+++ b/crates/azuresaddle-edge/src/control/store_watch.rs
@@ -1,4 +1,4 @@
-//! Follows the platform's store.
+//! Reads and watches the platform's store.
 
 use std::time::Duration;
 
@@ -7,50 +7,50 @@
 use rand::Rng;
 use tokio::sync::{mpsc, watch};
 
-/// Longest wait of one watch; a connection that went silent is found after that and a little more.
-/// Each watch is a paid call.
+/// Maximum duration of one watch call; a dead connection is detected shortly after it. Each watch
+/// is a paid call.
 const WATCH_WAIT: Duration = Duration::from_millis(1500);
 
-/// First pause after a failed call.
+/// Initial backoff after a failed call.
 pub(super) const FIRST_BACKOFF: Duration = Duration::from_millis(150);
 
-/// Longest pause after failed calls.
+/// Maximum backoff after failed calls.
 pub(super) const MAX_BACKOFF: Duration = Duration::from_millis(800);
 
-/// Shortest time between two watches, so that quick changes don't turn into a call each.
+/// Minimum interval between two watch calls, so that changes in quick succession share a call.
 const MIN_INTERVAL: Duration = Duration::from_millis(40);
 
-/// What the store tells.
+/// An event from the store.
 #[derive(Debug)]
 pub(super) enum StoreEvent {
-    /// The store answers again, after it did not.
+    /// The store answers again after a failure.
     Reconnected,
-    /// The store does not answer.
+    /// The store has stopped answering.
     Unreachable {
-        /// Why.
+        /// Description of the error.
         reason: String,
     },
-    /// All items.
+    /// The complete content of the store.
     Listing {
         /// The items.
         items: Vec<Item>,
-        /// Position at which they were read.
+        /// Position of the listing.
         at: StorePosition,
     },
-    /// A page of a listing that is not the last.
+    /// A page of a listing other than the last one.
     Page(Vec<Item>),
-    /// All changes since the last ones, or since the listing.
+    /// All changes since the previous event or the listing.
     Changes {
-        /// The changes in their order.
+        /// The changes in order.
         items: Vec<Item>,
-        /// Position up to which they are all.
+        /// Position up to which the changes are complete.
         at: StorePosition,
     },
-    /// An answer came from a later copy of the store than all before.
+    /// An answer revealed a later era of the store than all previous ones.
     Era(StoreEra),
 }
 
-/// Reads all, then watches while `enabled`, for ever; ends when nobody listens.
+/// Reads the complete store, then watches it while `enabled`. Returns when the receiver is closed.
 pub(super) async fn watch_store<N: Network>(
     store: PlatformStore<N>,
     mut enabled: watch::Receiver<bool>,
@@ -67,7 +67,7 @@
         let mut later = era.clone();
         let result = tokio::select! {
             result = next_event(&store, &mut progress) => result,
-            // A watch that waits on the earlier copy may never be answered.
+            // A watch that was started before the rollback may never be answered.
             Ok(()) = wait_for_later_era(&mut later) => Err(StoreError::WentBack),
         };
         if let Some(era) = take_later_era(&mut era)
@@ -110,7 +110,7 @@
     }
 }
 
-/// Waits until an answer to any call tells a later era than the one that was read last.
+/// Waits until an answer to any call reveals a later era than the one last read.
 async fn wait_for_later_era(
     era: &mut watch::Receiver<Option<StoreEra>>,
 ) -> Result<(), watch::error::RecvError> {
@@ -120,28 +120,28 @@
             .wait_for(|e| e.is_some_and(|e| e > known))
             .await
             .map(|_| ()),
-        // The first answer is no change.
+        // The first known era is not a change.
         None => std::future::pending().await,
     }
 }
 
-/// The era, where an answer to any call has told a later one than before.
+/// Returns the era if an answer to any call has revealed a later one.
 fn take_later_era(era: &mut watch::Receiver<Option<StoreEra>>) -> Option<StoreEra> {
     let has_changed = era.has_changed().unwrap_or(false);
     has_changed.then(|| *era.borrow_and_update()).flatten()
 }
 
-/// How far the store was read.
+/// Progress in reading the store.
 enum ReadProgress {
-    /// All is read, page by page.
+    /// The complete store is being read page by page.
     Listing {
         items: Vec<Item>,
         /// Position of the first page.
         at: Option<StorePosition>,
-        /// Key after which the next page begins.
+        /// Key after which the next page starts.
         after: Option<String>,
     },
-    /// Changes after a position are waited for.
+    /// Changes after a position are being watched.
     Watching(StorePosition),
 }
 
@@ -158,7 +158,7 @@
         matches!(self, Self::Watching(_))
     }
 
-    /// A listing that failed on the way begins anew; it may go on much later.
+    /// Restarts a listing that failed, since the next attempt may be much later.
     fn on_failure(&mut self) {
         if !self.is_watching() {
             *self = Self::start();
@@ -168,8 +168,8 @@
 
 /// Reads the next page or waits for the next changes.
 ///
-/// The items of a page are told at once: the configuration is on the first one, and the other
-/// pages of thousands of targets take seconds when hundreds of nodes start together.
+/// The items of a page are delivered at once: the first page contains the configuration, and the
+/// remaining pages of thousands of targets take seconds when hundreds of nodes start together.
 async fn next_event<N: Network>(
     store: &PlatformStore<N>,
     progress: &mut ReadProgress,
@@ -205,7 +205,7 @@
     }
 }
 
-/// Between half and all of a pause, so that nodes don't call in step.
+/// Returns a random duration between half and all of a pause, so that nodes do not call in step.
 pub(super) fn jittered(pause: Duration) -> Duration {
     pause.mul_f64(rand::rng().random_range(0.5..1.0))
 }
--- a/crates/azuresaddle-edge/src/control/target_record.rs
+++ b/crates/azuresaddle-edge/src/control/target_record.rs
@@ -1,8 +1,9 @@
-//! What is known of one target's entry, and how what two nodes know becomes one.
+//! A target's entry as a mergeable record: nodes that exchange records converge.
 //!
-//! A store that goes back to an older copy forgets changes, and gives their revisions out again. So neither the
-//! latest revision nor the latest answer of the store is the truth by itself: what counts is the target's own latest
-//! word, and whether the store, in its latest copy, has removed the entry since.
+//! A store that goes back to an older copy loses changes and reuses their revisions. So neither the
+//! latest revision nor the latest answer of the store is authoritative. What counts is the latest
+//! entry that the target itself wrote, and whether the store has removed it since, in its latest
+//! era.
 
 use std::cmp::Ordering;
 use std::sync::Arc;
@@ -11,7 +12,7 @@
 use azuresaddle_platform::{DecodeError, Item, StorePosition, decode_target};
 use serde::{Deserialize, Serialize};
 
-/// Orders the entries that a target writes, whatever the store makes of them.
+/// Orders the entries that a target writes, independently of store revisions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub(super) struct EntryNumber {
     started: TargetStart,
@@ -27,19 +28,19 @@
     }
 }
 
-/// What the store said of a key last.
+/// Last known state of a key in the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Presence {
-    /// It holds the entry.
+    /// The store contains the entry.
     Present {
-        /// Where the entry was first seen: in the earliest era, and the latest revision there.
+        /// Where the entry was first seen: its earliest era, and the latest revision in that era.
         first: StorePosition,
-        /// Where it was seen last.
+        /// Where the entry was last seen.
         last: StorePosition,
     },
-    /// It was removed.
+    /// The entry was removed.
     Removed(StorePosition),
-    /// It holds something that names no target.
+    /// The value is not a valid target entry.
     Unreadable(StorePosition),
 }
 
@@ -52,22 +53,22 @@
     }
 }
 
-/// What is known of one key of a target.
+/// What this node knows of one target key.
 ///
-/// Two records of a key merge to the same one in any order.
+/// Merging records of a key is commutative: any order gives the same record.
 #[derive(Clone, Debug)]
 pub(crate) struct TargetRecord {
     key: Arc<str>,
-    /// Latest number that any entry of the target had, also after its removal.
+    /// Highest number of any entry of the target, including removed ones.
     number: EntryNumber,
-    /// The entry of that number; `None` where none was read.
+    /// The entry with that number; `None` if none could be decoded.
     entry: Option<Arc<TargetEntry>>,
-    /// What the key holds or held last, as it was written.
+    /// Latest value of the key, as written by the target.
     value: Option<Arc<[u8]>>,
     presence: Presence,
 }
 
-/// A record as nodes tell it to each other.
+/// A record as nodes exchange it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct TargetUpdate {
     key: String,
@@ -79,7 +80,7 @@
 }
 
 impl TargetRecord {
-    /// A change as the store told it, and why its value can't be read.
+    /// Creates a record from a store item. Also returns the error if the value cannot be decoded.
     pub(super) fn from_item(item: Item) -> (Self, Option<DecodeError>) {
         let at = item.position;
         let presence = match item.value {
@@ -92,7 +93,8 @@
         Self::decode(item.key, item.value, EntryNumber::default(), presence)
     }
 
-    /// A record that another node tells, and why its value can't be read.
+    /// Creates a record from another node's update. Also returns the error if the value cannot be
+    /// decoded.
     pub(super) fn from_update(update: TargetUpdate) -> (Self, Option<DecodeError>) {
         let presence = if update.is_removed {
             Presence::Removed(update.last)
@@ -135,7 +137,7 @@
         }
     }
 
-    /// The record as it is told to other nodes.
+    /// Converts the record to an update for other nodes.
     pub(crate) fn to_update(&self) -> TargetUpdate {
         let (first, last) = self.seen();
         TargetUpdate {
@@ -148,12 +150,12 @@
         }
     }
 
-    /// Latest number that any entry of the target had.
+    /// Highest number of any entry of the target.
     pub(super) fn number(&self) -> EntryNumber {
         self.number
     }
 
-    /// Whether both tell the same.
+    /// Returns whether both records carry the same information.
     pub(super) fn is_same(&self, other: &Self) -> bool {
         (self.presence, self.number, &self.value) == (other.presence, other.number, &other.value)
     }
@@ -162,7 +164,7 @@
         &self.key
     }
 
-    /// Position of the latest change that is known.
+    /// Position of the latest known change.
     pub(crate) fn position(&self) -> StorePosition {
         self.presence.position()
     }
@@ -175,13 +177,13 @@
         matches!(self.presence, Presence::Unreadable(_))
     }
 
-    /// The entry, where the store holds it.
+    /// The entry, if the store contains it.
     pub(super) fn entry(&self) -> Option<&Arc<TargetEntry>> {
         let is_present = matches!(self.presence, Presence::Present { .. });
         self.entry.as_ref().filter(|_| is_present)
     }
 
-    /// The record of the same key after its removal.
+    /// Returns the record of the same key after its removal.
     pub(super) fn removed(&self, at: StorePosition) -> Self {
         Self {
             key: Arc::clone(&self.key),
@@ -192,7 +194,7 @@
         }
     }
 
-    /// What both tell together.
+    /// Merges two records of the same key.
     pub(super) fn merged(&self, other: &Self) -> Self {
         let (source, presence) = match (self.presence, other.presence) {
             (Presence::Present { .. }, Presence::Present { .. }) => self.latest_entry(other),
@@ -214,7 +216,7 @@
         }
     }
 
-    /// Which of two entries counts, and where it was seen.
+    /// Returns the later of two entries, and where it was seen.
     fn latest_entry<'a>(&'a self, other: &'a Self) -> (&'a Self, Presence) {
         match self.number.cmp(&other.number) {
             Ordering::Greater => (self, self.presence),
@@ -223,8 +225,8 @@
         }
     }
 
-    /// Which of two entries of the same number counts: a target that has said that it drains does not take work again
-    /// because an older copy of the store says so.
+    /// Returns the later of two entries with the same number. A target that has announced that it
+    /// is draining does not become ready again because an older copy of the store says so.
     fn later_of_same_number<'a>(&'a self, other: &'a Self) -> &'a Self {
         let rank = |r: &Self| {
             let (first, last) = r.seen();
@@ -249,7 +251,7 @@
         }
     }
 
-    /// Where what the record tells was seen first and last.
+    /// Positions at which the record's state was first and last seen.
     fn seen(&self) -> (StorePosition, StorePosition) {
         match self.presence {
             Presence::Present { first, last } => (first, last),
@@ -257,7 +259,7 @@
         }
     }
 
-    /// The record itself, or a removal of which `removal` tells where the entry is not there since.
+    /// Returns this record, or `removal` if the entry has been missing since position `at`.
     fn unless_removed<'a>(&'a self, at: StorePosition, removal: &'a Self) -> (&'a Self, Presence) {
         let (first, last) = self.seen();
         let outlives = |seen: StorePosition| {
@@ -273,7 +275,7 @@
     }
 }
 
-/// The position of the earlier era, and the later one in the same era.
+/// Returns the position of the earlier era, or the later position if both are of the same era.
 fn earliest_era(one: StorePosition, other: StorePosition) -> StorePosition {
     match one.era.cmp(&other.era) {
         Ordering::Less => one,
--- a/crates/azuresaddle-edge/src/control/tests/crash_gossip.rs
+++ b/crates/azuresaddle-edge/src/control/tests/crash_gossip.rs
@@ -1,4 +1,4 @@
-//! How fast all nodes hear of a request that crashes its targets.
+//! Tests of how fast all nodes learn of a request that crashes its targets.
 
 use azuresaddle_core::prelude::*;
 use azuresaddle_sched::quarantine::{Crash, CrashStatus, TargetIncarnation};
@@ -14,7 +14,7 @@
 use crate::metrics::Metrics;
 use crate::quarantine::{CrashUpdate, SharedQuarantine};
 
-/// Time after the third crash within which all nodes keep a request from their targets.
+/// Time after the third crash within which all nodes must have the request in quarantine.
 const PROPAGATION_TIME: std::time::Duration = std::time::Duration::from_secs(3);
 
 fn crash(request: u8, target: u64) -> Crash {
@@ -24,14 +24,14 @@
     }
 }
 
-/// A node's quarantine and what it tells of it.
+/// A node's quarantine and its queue of crash updates.
 struct Node {
     quarantine: std::sync::Arc<SharedQuarantine>,
     spread: CrashGossip,
 }
 
-/// Passes updates on in a fleet of which each node has heard; returns the rounds until all nodes keep the request
-/// from their targets, and the most datagrams of one node in a round.
+/// Gossips three crashes, each seen by a different node. Returns the rounds until all nodes have
+/// the request in quarantine, and the maximum number of datagrams that one node sent in a round.
 fn rounds_until_known(nodes: u16, loss_rate: f64) -> (u32, usize) {
     let mut fleet = Fleet::new(nodes);
     fleet.advance(std::time::Duration::from_secs(4));
@@ -42,7 +42,7 @@
             spread: CrashGossip::default(),
         })
         .collect();
-    // Each crash is seen by another node.
+    // Each crash is seen by a different node.
     for n in 0..3_u64 {
         let node = &mut all[usize::from(nodes) * n as usize / 3];
         let crash = crash(1, n);
@@ -56,7 +56,7 @@
         if all.iter().all(knows) {
             return (round, most_sent);
         }
-        assert!(round < 1000, "some node never hears of it");
+        assert!(round < 1000, "some node never learns of the crashes");
         fleet.round();
         let mut sent = Vec::new();
         for (node, members) in all.iter_mut().zip(&mut fleet.nodes) {
@@ -119,7 +119,8 @@
     assert_eq!(told, 300);
 }
 
-/// Hundreds of targets end in one moment, each with all its streams.
+/// Guards against an unbounded queue when hundreds of targets crash at the same moment, each with
+/// all its streams.
 #[tokio::test(start_paused = true)]
 async fn queued_updates_are_bounded() {
     let mut spread = CrashGossip::default();
--- a/crates/azuresaddle-edge/src/control/tests/failover.rs
+++ b/crates/azuresaddle-edge/src/control/tests/failover.rs
@@ -1,4 +1,4 @@
-//! When an owner that does not answer is replaced, and by whom.
+//! Tests of failover: when an unresponsive owner is replaced, and by which node.
 
 use std::collections::HashSet;
 use std::time::Duration;
@@ -11,8 +11,8 @@
 use crate::control::members::{Members, TICK};
 use crate::snapshot::NO_OWNER;
 
-/// A fleet whose nodes know of each other; node `n` has the incarnation `n * 1000` and the lowest one
-/// places.
+/// Creates a fleet whose nodes know each other; node `n` has the incarnation `n * 1000`, and the
+/// one with the lowest incarnation is the owner.
 fn fleet(now: Instant, nodes: u16) -> Vec<Members> {
     let informed = |own: u16| {
         let mut members = members(now, own);
@@ -31,7 +31,7 @@
     }
 }
 
-/// Brings a node's claim to all others.
+/// Delivers a node's ownership claim to all nodes.
 fn deliver_claim(fleet: &mut [Members], claimant: u16, now: Instant) {
     let beat = fleet[usize::from(claimant) - 1].bare_heartbeat();
     for members in fleet {
@@ -54,7 +54,7 @@
     assert_eq!(fleet[1].live_nodes(start).1, 2000);
     deliver_claim(&mut fleet, 2, start);
     assert_eq!(owners(&fleet, start), [2000], "the earlier owner yields");
-    // It answers again; a second change would cost a second handover.
+    // The earlier owner answers again; switching back would cost a second handover.
     let mut now = start;
     for counter in 2..26 {
         now = advance(&mut fleet[1], now, TICK);
@@ -71,7 +71,7 @@
         assert!(!fleet[1].on_vote(now, vote(7, 1)));
         assert!(!fleet[1].on_vote(now, vote(8, 1)));
     }
-    assert!(fleet[1].on_vote(now, vote(9, 1)), "three agree");
+    assert!(fleet[1].on_vote(now, vote(9, 1)), "three votes suffice");
 }
 
 #[tokio::test(start_paused = true)]
@@ -98,7 +98,7 @@
     assert_eq!(owners(&fleet, now), [2000]);
 }
 
-/// A third of the nodes can't reach the owner, all in the same moment.
+/// A third of the nodes lose the connection to the owner at the same moment.
 #[tokio::test(start_paused = true)]
 async fn all_of_300_agree_on_one_owner_whoever_suspects_it() {
     let now = Instant::now();
@@ -112,7 +112,7 @@
             claims.push(index + 1);
         }
     }
-    assert_eq!(claims, [2], "one takes over, once");
+    assert_eq!(claims, [2], "one node takes over, once");
     assert!(owners(&fleet, now).len() <= 2);
     deliver_claim(&mut fleet, 2, now);
     assert_eq!(owners(&fleet, now), [2000]);
@@ -156,7 +156,8 @@
     assert_eq!(owners(&fleet, now), [3000]);
 }
 
-/// A fleet that starts as a whole, 15 of 300 hosts strong; the configuration comes to one after the other.
+/// A whole fleet starts at once; 15 of its 300 hosts are strong, and the nodes receive the
+/// configuration one after the other.
 #[tokio::test(start_paused = true)]
 async fn nodes_that_start_together_agree_on_one_strong_owner() {
     const NODES: u64 = 300;
@@ -170,7 +171,8 @@
             120
         };
         members.started_at = start;
-        // The start times of hosts say nothing of the order in which they get the configuration.
+        // The start times of the hosts are unrelated to the order in which they receive the
+        // configuration.
         let started_ms = (n as u64 * 7919) % NODES;
         members.update_own(|own| {
             own.configuration = 0;
@@ -208,7 +210,7 @@
     members.started_at = start;
     members.update_own(|own| own.cpu_milli = 120);
     members.on_heartbeat(start, ip(1), &beat(1, 1));
-    assert!(!members.claim_if_first(start), "a stronger host lives");
+    assert!(!members.claim_if_first(start), "a stronger host is live");
     assert_eq!(members.live_nodes(start).1, NO_OWNER);
     let mut claim = beat(4, 1);
     claim.from.term = 1;
--- a/crates/azuresaddle-edge/src/control/tests/fleet.rs
+++ b/crates/azuresaddle-edge/src/control/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet of members in virtual time.
+//! Simulated fleet in virtual time.
 
 use std::net::Ipv4Addr;
 use std::time::Duration;
@@ -11,13 +11,13 @@
 use crate::control::heartbeat::{Datagram, Heartbeat, MAX_BYTES};
 use crate::control::members::{Members, TICK};
 
-/// Hosts whose members exchange datagrams without loss.
+/// Nodes that exchange heartbeats in rounds.
 pub(super) struct Fleet {
     pub(super) nodes: Vec<Members>,
     pub(super) now: Instant,
-    /// Most heartbeats that a node sent in one round.
+    /// Maximum number of heartbeats that a node sent in the last round.
     pub(super) most_sent: usize,
-    /// Part of the datagrams that is lost.
+    /// Fraction of datagrams that are lost.
     pub(super) loss_rate: f64,
     rng: SmallRng,
 }
@@ -34,7 +34,7 @@
         }
     }
 
-    /// One round; returns how often a node changed its mind about who is alive.
+    /// Runs one round; returns how often a node changed its view of which nodes are live.
     pub(super) fn round(&mut self) -> usize {
         self.now += TICK;
         let now = self.now;
@@ -74,7 +74,8 @@
         changes
     }
 
-    /// Delivers a heartbeat; a host that is new to the receiver gets one back at once.
+    /// Delivers a heartbeat; a receiver that does not know the sender's process replies with its
+    /// own.
     fn deliver(&mut self, to: Ipv4Addr, beat: &Heartbeat) -> bool {
         let members = &self.nodes[number(to) - 1];
         let is_new = !members.knows(beat.from.ip, beat.from.incarnation);
@@ -86,7 +87,7 @@
         changed
     }
 
-    /// Brings a heartbeat to a host, which asks for what it does not know.
+    /// Delivers a heartbeat to a host, which requests unknown states from the sender.
     fn receive(&mut self, to: Ipv4Addr, beat: &Heartbeat) -> bool {
         let now = self.now;
         let from = beat.from.ip;
--- a/crates/azuresaddle-edge/src/control/tests/members.rs
+++ b/crates/azuresaddle-edge/src/control/tests/members.rs
@@ -1,4 +1,4 @@
-//! Who is alive and who places streams.
+//! Tests of failure detection, gossip and the choice of watchers.
 
 use std::net::Ipv4Addr;
 use std::time::Duration;
@@ -51,14 +51,14 @@
     HeartbeatDigest::new(&state(n, counter), counter)
 }
 
-/// The members of a node that has run for some time.
+/// Creates the members of a node that has been running for some time.
 pub(super) fn members(now: Instant, own: u16) -> Members {
     let mut members = Members::new(now, state(own, 0), 7341, &[ip(1), ip(2)]);
     members.started_at = now - Duration::from_secs(5);
     members
 }
 
-/// Advances in ticks, as control does.
+/// Advances in ticks, as the control loop does.
 pub(super) fn advance(members: &mut Members, from: Instant, time: Duration) -> Instant {
     let mut now = from;
     while now < from + time {
@@ -107,7 +107,7 @@
     let start = Instant::now();
     let mut members = members(start, 3);
     members.on_heartbeat(start, ip(1), &beat(1, 1));
-    // Frozen for five seconds; the heartbeats of that time wait unread.
+    // The process was stalled for five seconds; the heartbeats of that time are still unread.
     let now = start + Duration::from_secs(5);
     members.on_tick(now);
     assert_eq!(members.live_nodes(now).1, 1000);
@@ -156,8 +156,8 @@
     assert_eq!(members.live_nodes(now).0.len(), 1);
 }
 
-/// Nodes that only heard heartbeat digests of an owner that had just read its configuration went on to
-/// take others for the owner for seconds.
+/// Guards against a wrong owner: nodes that received only digests of an owner that had just read
+/// its configuration used other nodes as owner for seconds.
 #[tokio::test(start_paused = true)]
 async fn a_state_is_accepted_after_a_later_digest() {
     let now = Instant::now();
@@ -170,16 +170,17 @@
     let mut told = beat(2, 1);
     told.digests = vec![digest(1, 9)];
     members.on_heartbeat(now, ip(2), &told);
-    // What this node passes on meanwhile is as old as what it knows.
+    // The digest that this node relays meanwhile matches the state that it knows.
     assert_eq!(members.heartbeat(now).digests, [digest(2, 1), stale]);
-    // The digest tells that the node takes callers now, so it is asked for.
+    // The digest shows that the node accepts callers now, so its state is requested.
     assert_eq!(members.hosts_to_request(&told), [ip(1)]);
     assert!(members.on_states(now, &[state(1, 6)]));
     assert!(members.hosts_to_request(&told).is_empty());
     assert_eq!(members.live_nodes(now).1, 1000);
 }
 
-/// A large fleet learns of every node by partners, with as many messages a node as a small one.
+/// A node of a large fleet discovers all others by gossip, and sends no more messages than a node
+/// of a small fleet.
 #[tokio::test(start_paused = true)]
 async fn a_large_fleet_discovers_all_nodes_with_a_few_peers_per_round() {
     const NODES: u16 = 90;
@@ -202,7 +203,8 @@
     assert_eq!(watching.count(), 4);
 }
 
-/// Nodes of a fleet of 300 missed each other 17 times a second, and each time published anew.
+/// Guards against a failure timeout that is too short: nodes of a fleet of 300 took each other for
+/// failed 17 times a second, and published a new snapshot each time.
 #[tokio::test(start_paused = true)]
 async fn no_node_is_marked_failed_in_a_fleet_of_300() {
     let mut fleet = Fleet::new(300);
@@ -211,11 +213,11 @@
         assert_eq!(members.live_nodes(fleet.now).0.len(), 300);
     }
     let changes = fleet.advance(Duration::from_secs(3));
-    assert!(changes < 20, "{changes} changes of mind in 3 s");
+    assert!(changes < 20, "{changes} changes of view in 3 s");
 }
 
-/// All processes of a large fleet start in one moment, so that their rounds of heartbeats come in step, and some
-/// datagrams are lost.
+/// Guards against false failures when all processes of a large fleet start at the same moment, so
+/// that their gossip rounds coincide, and some datagrams are lost.
 #[tokio::test(start_paused = true)]
 async fn no_node_is_marked_failed_in_a_fleet_that_starts_in_step() {
     for nodes in [300, 420] {
@@ -230,7 +232,7 @@
         }
         fleet.advance(Duration::from_secs(8));
         let changes = fleet.advance(Duration::from_secs(5));
-        assert!(changes < 20, "{nodes}: {changes} changes of mind in 5 s");
+        assert!(changes < 20, "{nodes}: {changes} changes of view in 5 s");
     }
 }
 
@@ -244,12 +246,13 @@
     assert_eq!(members.hosts_to_request(&told), [ip(9)]);
     assert!(members.on_states(now, &[state(9, 5)]));
     assert!(members.hosts_to_request(&told).is_empty());
-    // A restarted one too.
+    // A restarted process is requested too.
     told.digests[0].process += 1;
     assert_eq!(members.hosts_to_request(&told), [ip(9)]);
 }
 
-/// A node that knows of 40 others none of which the store answers; its rank is that of its number.
+/// Creates a node that knows 40 others, none of which gets answers from the store; its number
+/// determines its rank.
 fn unwatched(now: Instant, own: u16) -> Members {
     let mut members = members(now, own);
     let others = (1..=40).filter(|n| *n != own).map(|n| {
@@ -269,12 +272,21 @@
 #[tokio::test(start_paused = true)]
 async fn more_nodes_watch_the_store_when_few_get_answers() {
     let now = Instant::now();
-    assert!(unwatched(now, 10).should_watch(now), "one of the next few");
+    assert!(
+        unwatched(now, 10).should_watch(now),
+        "one of the standby watchers"
+    );
     let mut last = unwatched(now, 60);
-    assert!(!last.should_watch(now), "the others leave them their time");
+    assert!(
+        !last.should_watch(now),
+        "others wait for the standby watchers"
+    );
     let later = now + Duration::from_millis(1000);
-    assert!(last.should_watch(later), "then it is up to all of 42");
-    // Two that are answered are enough.
+    assert!(
+        last.should_watch(later),
+        "after a second all 42 nodes watch"
+    );
+    // Two nodes with a working watch are enough.
     last.on_heartbeat(later, ip(42), &beat(42, 1));
     assert!(!last.should_watch(later));
 }
@@ -292,7 +304,7 @@
         all.filter_map(|m| m.should_watch(at).then_some(())).count()
     };
     assert_eq!(asking(now), 16);
-    // 64, and a few that do not know of every node before them.
+    // 64 nodes, plus a few that do not know all nodes ranked above them.
     let most = asking(now + Duration::from_secs(2));
     assert!((64..=70).contains(&most), "{most}");
 }
@@ -306,7 +318,8 @@
     assert!(members.should_watch(now + Duration::from_millis(600)));
 }
 
-/// Bytes between failure domains are dear, so most partners are of the own one; states still reach all.
+/// Traffic between failure domains is expensive, so most gossip peers are in the own domain; states
+/// still reach all nodes.
 #[tokio::test(start_paused = true)]
 async fn three_of_four_peers_are_in_the_same_failure_domain() {
     let mut fleet = Fleet::new(100);
--- a/crates/azuresaddle-edge/src/control/tests/mod.rs
+++ b/crates/azuresaddle-edge/src/control/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of what control believes.
+//! Tests of the control plane.
 
 mod crash_gossip;
 mod failover;
--- a/crates/azuresaddle-edge/src/control/tests/registry.rs
+++ b/crates/azuresaddle-edge/src/control/tests/registry.rs
@@ -1,4 +1,4 @@
-//! Which targets are believed in.
+//! Tests of the registry of targets.
 
 use std::time::Duration;
 
@@ -11,17 +11,17 @@
 
 use crate::control::registry::Registry;
 
-/// A position in the store's first copy.
+/// A position in the first era of the store.
 pub(super) fn at(revision: u64) -> StorePosition {
     StorePosition::new(StoreEra(1), revision)
 }
 
-/// What the first start of a target writes as its entry of that number.
+/// Entry of a target's first start, with the revision as its sequence number.
 pub(super) fn item(id: &str, state: &str, revision: u64) -> Item {
     item_of(id, state, revision, 1_000, revision)
 }
 
-/// What a start of a target writes.
+/// Entry of a given start of a target.
 pub(super) fn item_of(id: &str, state: &str, revision: u64, born: u64, sequence: u64) -> Item {
     let value = format!(
         r#"{{"service":"s","address":"10.0.0.9:80","zone":"d1","version":"v1","slots":6,
@@ -83,12 +83,12 @@
     assert!(!registry.apply(start, removed("a", 8)));
     assert!(!registry.apply(start, removed("b", 9)));
     assert_eq!(ids(&registry), ["a", "b"]);
-    // One of them registers again.
+    // One of the targets registers again.
     registry.apply(start, item("a", "ready", 12));
     let later = start + Duration::from_millis(2300);
     assert!(registry.expire_removals(later));
     assert_eq!(ids(&registry), ["a"]);
-    // The other nodes learn of the removal with its own revision.
+    // Other nodes receive the removal at its own revision.
     let records = registry.published().records;
     let told = records.iter().find(|r| &**r.key() == "servers/b").unwrap();
     assert!(told.is_removed());
@@ -104,13 +104,13 @@
     registry.on_store_reconnected(start);
     assert!(
         !registry.apply(start, removed("a", 8)),
-        "it may have lapsed"
+        "the entry may have lapsed"
     );
     registry.on_caught_up();
     let later = start + Duration::from_millis(120);
     assert!(registry.apply(later, removed("b", 9)));
     assert_eq!(ids(&registry), ["a"]);
-    // What may have lapsed still has its time.
+    // The removal that may be a lapse still has its grace period.
     assert!(!registry.expire_removals(start + Duration::from_millis(2100)));
     assert!(registry.expire_removals(start + Duration::from_millis(2300)));
 }
@@ -122,7 +122,7 @@
     registry.apply(now, item("a", "ready", 1));
     registry.apply(now, item("new", "ready", 20));
     assert!(registry.apply_listing(now, vec![item("b", "ready", 2)], at(10)));
-    // What changed after the listing stays.
+    // Changes after the listing are kept.
     assert_eq!(ids(&registry), ["b", "new"]);
 }
 
@@ -145,12 +145,12 @@
     let now = Instant::now();
     let mut registry = Registry::default();
     registry.apply(now, item_of("a", "ready", 1, 1_000, 40));
-    // It starts again: its counts start anew.
+    // The target restarts, and its sequence restarts too.
     assert!(registry.apply(now, item_of("a", "ready", 5, 2_000, 1)));
-    // A write of the earlier start that was carried out late, so with a later revision.
+    // A delayed write of the earlier start, so it has a later revision.
     assert!(!registry.apply(now, item_of("a", "draining", 6, 1_000, 41)));
     assert_eq!(ids(&registry), ["a"]);
-    // Nor after the entry was removed.
+    // Entries of the earlier start are also ignored after a removal.
     assert!(registry.apply(now, removed("a", 7)));
     assert!(!registry.apply(now, item_of("a", "ready", 8, 1_000, 42)));
     assert!(ids(&registry).is_empty());
@@ -164,7 +164,7 @@
     assert!(registry.apply(now, item_of("a", "draining", 2, 1_000, 9)));
     assert!(!registry.apply(now, item_of("a", "ready", 3, 1_000, 8)));
     assert!(ids(&registry).is_empty());
-    // The same number again is no older entry.
+    // The same sequence number again is not an outdated entry.
     assert!(registry.apply(now, item_of("a", "ready", 4, 1_000, 9)));
 }
 
@@ -178,12 +178,12 @@
     let after = one.published();
     assert_ne!(before.hash, after.hash);
     assert_eq!(after.targets.restarted_since(&before.targets), ["a".into()]);
-    // A mere heartbeat changes nothing for others.
+    // A rewritten entry with the same state changes nothing for other nodes.
     assert!(!one.apply(now, item_of("a", "ready", 3, 2_000, 2)));
     assert_eq!(one.published().hash, after.hash);
 }
 
-/// An entry by another writer: any bytes, or a good entry with one field missing or of another type.
+/// A foreign entry: any bytes, or a valid entry with one field missing or of the wrong type.
 fn foreign_value() -> impl Strategy<Value = Vec<u8>> {
     let fields = [
         "service", "address", "zone", "version", "slots", "state", "sequence",
@@ -199,7 +199,8 @@
         let mut entry: serde_json::Value = serde_json::from_slice(&good).expect("it is JSON");
         let map = entry.as_object_mut().expect("it is an object");
         match odd {
-            // Any text is a service, a version and a failure domain.
+            // Any string is a valid service, version or failure domain, so the state is made
+            // invalid instead.
             Some(odd) if odd.is_string() && field != "slots" && field != "sequence" => {
                 map.insert("state".to_owned(), odd);
             }
@@ -216,7 +217,8 @@
 }
 
 proptest! {
-    /// Whatever others write, under any key, the targets' own entries hold and nothing else is named.
+    /// Whatever other writers store under any key, the targets' own entries are kept and no other
+    /// targets are added.
     #[test]
     fn foreign_entries_neither_add_nor_hide_targets(
         writes in proptest::collection::vec(("[ -~]{0,20}", foreign_value()), 1..20),
@@ -273,7 +275,7 @@
     assert_ne!(first.hash, second.hash);
 }
 
-/// A target's answers say that it drains while the store still holds it as ready.
+/// A target's answers announce that it is draining while its entry in the store still says ready.
 #[tokio::test(start_paused = true)]
 async fn a_draining_signal_overrides_a_ready_entry() {
     let now = Instant::now();
@@ -283,13 +285,14 @@
     let before = registry.published();
     registry.on_draining(&"a".into(), TargetStart(1_000));
     assert_eq!(ids(&registry), ["b"]);
-    // Nodes that differ in what they have heard do not fetch all entries from each other.
+    // The hash excludes draining signals, so that nodes with different signals do not fetch all
+    // entries from each other.
     assert_eq!(registry.published().hash, before.hash);
     registry.apply(now, item("a", "ready", 3));
-    assert_eq!(ids(&registry), ["b"], "written again");
+    assert_eq!(ids(&registry), ["b"], "entry rewritten");
     registry.apply(now, removed("a", 4));
     registry.apply(now, item("a", "ready", 5));
-    assert_eq!(ids(&registry), ["b"], "back after a lapse");
+    assert_eq!(ids(&registry), ["b"], "entry restored after a lapse");
     registry.apply(now, item_of("a", "ready", 6, 2_000, 1));
-    assert_eq!(ids(&registry), ["a", "b"], "started again");
+    assert_eq!(ids(&registry), ["a", "b"], "target restarted");
 }
--- a/crates/azuresaddle-edge/src/control/tests/signals.rs
+++ b/crates/azuresaddle-edge/src/control/tests/signals.rs
@@ -1,4 +1,4 @@
-//! What nodes know of the targets' signals.
+//! Tests of the recording and gossip of target signals.
 
 use std::time::Duration;
 
@@ -26,7 +26,7 @@
     HostName::new("i-5a807b3b18")
 }
 
-/// An answer to a request that was sent 100 ms before.
+/// Signals of an answer to a request that was sent 100 ms earlier.
 fn observed(at: Instant, rate_limit: Option<RateLimit>) -> ObservedSignals {
     ObservedSignals {
         target: target(),
@@ -57,7 +57,7 @@
         limited(1.9)
     );
     assert_eq!(records.on_observed(&observed(later(10), limit(1.9))), []);
-    // The request of this one was sent before the limit was heard of.
+    // This request was sent before the limit was announced.
     assert_eq!(records.on_observed(&observed(later(50), None)), []);
     let ended = records.on_observed(&observed(later(300), None));
     assert_eq!(ended, [SignalChange::Unlimited]);
@@ -104,7 +104,7 @@
     assert_eq!(ended, [SignalChange::Unlimited]);
 }
 
-/// A target names its limit to one node; rounds until all nodes know.
+/// Announces a limit to one node and returns the rounds until all nodes know it.
 fn rounds_until_known(nodes: u16, loss_rate: f64) -> u32 {
     let mut fleet = Fleet::new(nodes);
     fleet.advance(Duration::from_secs(4));
@@ -149,7 +149,7 @@
             }
         }
     }
-    panic!("some node never hears of it");
+    panic!("some node never learns of the limit");
 }
 
 #[tokio::test(start_paused = true)]
--- a/crates/azuresaddle-edge/src/control/tests/store_model/event.rs
+++ b/crates/azuresaddle-edge/src/control/tests/store_model/event.rs
@@ -1,33 +1,33 @@
-//! What happens between two steps.
+//! Random events of the model test.
 
 use proptest::prelude::*;
 
 use super::{NODES, TARGETS};
 
-/// What happens between two steps.
+/// An event between two steps.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Event {
-    /// A target writes its entry.
+    /// A target rewrites its entry.
     Write(usize),
-    /// A target tells that it leaves.
+    /// A target announces that it is draining.
     Drain(usize),
-    /// A target has left, and its entry is removed.
+    /// A target leaves, and its entry is removed.
     Leave(usize),
-    /// A target starts again, or comes back.
+    /// A target restarts or returns.
     Start(usize),
-    /// The operator writes a configuration.
+    /// The operator writes a new configuration.
     Configure,
-    /// The store answers nobody for some steps; entries may lapse.
+    /// The store is unavailable for some steps; entries may lapse.
     Outage { steps: u64, lapses: bool },
-    /// The store comes back from the copy before its last changes.
+    /// The store is rolled back by a number of changes.
     RollBack(usize),
-    /// The store forgets its history.
+    /// The store compacts its history.
     Compact,
-    /// One node does not reach the store for some steps.
+    /// A node cannot reach the store for some steps.
     Disconnect { node: usize, steps: u64 },
-    /// A node starts anew.
+    /// A node restarts without state.
     Restart(usize),
-    /// Nothing.
+    /// Only time passes.
     Wait(u64),
 }
 
--- a/crates/azuresaddle-edge/src/control/tests/store_model/mod.rs
+++ b/crates/azuresaddle-edge/src/control/tests/store_model/mod.rs
@@ -1,6 +1,8 @@
-//! Three nodes before a store that fails, forgets and goes back, in random series of events.
+//! Model test: nodes that use a store with outages, lost history and rollbacks, in random sequences
+//! of events.
 //!
-//! Two of the nodes follow the store; the third has read it once and hears of changes from the others.
+//! Two of the three nodes watch the store; the third has read it once and receives changes from the
+//! others.
 
 mod event;
 mod node;
@@ -18,34 +20,34 @@
 use node::Without;
 use world::World;
 
-/// Time between two steps.
+/// Duration of a step.
 pub(super) const STEP: Duration = Duration::from_millis(100);
 
-/// Steps within which what the store has lost is written again.
+/// Steps within which writers rewrite what the store has lost.
 pub(super) const REWRITE_STEPS: u64 = 19;
 
-/// Steps for which an entry that the store has lost is believed.
+/// Steps for which an entry that the store has lost is kept.
 pub(super) const GRACE_STEPS: u64 = 22;
 
-/// Steps after which all nodes see what the store holds, once nothing is written any more and no entry is believed
-/// for its grace.
+/// Steps after which all nodes must have the content of the store, once writes have ceased and all
+/// grace periods are over.
 pub(super) const CONVERGENCE_STEPS: u64 = 20;
 
-/// Targets.
+/// Number of targets.
 pub(super) const TARGETS: usize = 4;
 
-/// Nodes of the random series.
+/// Number of nodes in the random sequences.
 pub(super) const NODES: usize = 3;
 
-/// Sizes of a fleet.
+/// Size of a fleet.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Sizes {
     pub(super) nodes: usize,
-    /// Nodes that follow the store.
+    /// Number of nodes that watch the store.
     pub(super) watchers: usize,
 }
 
-/// Those of the random series.
+/// Size of the fleet in the random sequences.
 pub(super) const SMALL: Sizes = Sizes {
     nodes: NODES,
     watchers: 2,
@@ -60,7 +62,7 @@
     world.settle()
 }
 
-/// Series of events that the test draws, the same ones each time.
+/// Number of random sequences that the test runs; the same ones each time.
 const SERIES: u32 = 1500;
 
 fn runner(cases: u32) -> TestRunner {
@@ -76,7 +78,7 @@
     (any::<u64>(), proptest::collection::vec(event(), 1..30))
 }
 
-/// More series by hand: `AZURESADDLE_SERIES=N`.
+/// Set `AZURESADDLE_SERIES=N` to run more sequences.
 #[test]
 fn all_nodes_converge_to_the_store_and_none_regresses() {
     let asked = std::env::var("AZURESADDLE_SERIES").ok();
@@ -89,7 +91,8 @@
     }
 }
 
-/// A node that has read the store after the removal heard of the target from one that had missed it.
+/// Guards against restoring a removed target: a node that had read the store after the removal
+/// accepted the target from a node that had missed the removal.
 #[test]
 fn an_entry_that_the_store_no_longer_held_is_not_taken_from_another_node() {
     let outage = Event::Outage {
@@ -115,7 +118,8 @@
     );
 }
 
-/// The store goes back twice in a row before a large fleet, of which four nodes follow it and some start meanwhile.
+/// The store is rolled back twice in a row in a large fleet; four nodes watch it and some restart
+/// meanwhile.
 #[test]
 fn three_hundred_nodes_converge_without_a_fetch_storm() {
     let sizes = Sizes {
@@ -131,10 +135,10 @@
         assert_eq!(world.apply(*event), Ok(()));
     }
     assert_eq!(world.settle(), Ok(()));
-    // One fetch of everything at its start, and one for each time that the store went back.
+    // One full fetch at the start of a node, and one for each rollback.
     let most_full = world.nodes.iter().map(|n| n.fetches.0).max();
-    assert!(most_full <= Some(3), "{most_full:?} fetches of everything");
-    // No more than there were changes.
+    assert!(most_full <= Some(3), "{most_full:?} full fetches");
+    // At most one incremental fetch per change.
     let changes = usize::try_from(world.store.revision).expect("a small number") + events.len();
     let most = world.nodes.iter().map(|n| n.fetches.1).max();
     assert!(
@@ -143,7 +147,7 @@
     );
 }
 
-/// Number of series that fail.
+/// Returns how many sequences fail.
 fn failures(without: Without) -> usize {
     let mut runner = runner(0);
     let series = series();
--- a/crates/azuresaddle-edge/src/control/tests/store_model/node.rs
+++ b/crates/azuresaddle-edge/src/control/tests/store_model/node.rs
@@ -1,4 +1,4 @@
-//! What a target says of itself, and what a node knows.
+//! Models of a target and of a node.
 
 use std::collections::BTreeSet;
 
@@ -8,7 +8,7 @@
 use crate::control::registry::Registry;
 use crate::control::start_gate::StartGate;
 
-/// What a target says of itself.
+/// A target's own state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Target {
     pub(super) born: u64,
@@ -20,18 +20,18 @@
     pub(super) registry: Registry,
     pub(super) gate: StartGate,
     pub(super) configuration: u64,
-    /// The latest configuration that it has read, in force or not.
+    /// The latest configuration version that the node has read, in force or not.
     pub(super) latest_read_version: u64,
     pub(super) started_at: Instant,
-    /// Position up to which it has followed the store.
+    /// Position up to which it has read the store.
     pub(super) read_up_to: Option<StorePosition>,
     pub(super) is_lost: bool,
     pub(super) disconnected_until: u64,
-    /// Starts of targets that it knows to drain.
+    /// Starts of targets that it knows to be draining.
     pub(super) drained: BTreeSet<(String, u64)>,
-    /// Since when it differs from a node that has heard of the same changes.
+    /// Step since which it has differed from a node at the same position.
     pub(super) differs_since: Option<u64>,
-    /// Fetches of everything, and of changes, from other nodes.
+    /// Numbers of full and of incremental fetches from other nodes.
     pub(super) fetches: (usize, usize),
 }
 
@@ -53,12 +53,12 @@
     }
 }
 
-/// What is left out, to see that the check needs it.
+/// A mechanism to disable, to verify that the test detects its absence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Without {
     Nothing,
-    /// All positions seem to be of one copy of the store.
+    /// All positions appear to be of the same era.
     Eras,
-    /// All entries of a target seem to have the same number.
+    /// All entries of a target appear to have the same number.
     Numbers,
 }
--- a/crates/azuresaddle-edge/src/control/tests/store_model/nodes.rs
+++ b/crates/azuresaddle-edge/src/control/tests/store_model/nodes.rs
@@ -1,4 +1,4 @@
-//! What the nodes do in a step, and what must hold.
+//! Actions of the nodes in a step, and the invariants that must hold.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 use crate::control::start_gate::PeerView;
 
 impl World {
-    /// One call of a node to the store.
+    /// Polls the store once for a node.
     pub(super) fn poll_store(&mut self, n: usize) {
         let now = self.now();
         let is_answered =
@@ -21,7 +21,7 @@
             self.nodes[n].is_lost = true;
             return;
         }
-        // The answer may be lost, or come a step later.
+        // The answer may be lost or delayed by a step.
         if !is_watching || self.rng.random_bool(0.1) {
             return;
         }
@@ -57,7 +57,8 @@
         node.read_up_to = Some(at);
     }
 
-    /// What a watch from a position tells; `None` where all has to be read anew.
+    /// Returns the changes after a position, as a watch reports them; `None` if the store has to be
+    /// listed again.
     pub(super) fn changes_after(&self, after: Option<StorePosition>) -> Option<Vec<Item>> {
         let after = after?;
         let is_known =
@@ -84,7 +85,7 @@
         .collect()
     }
 
-    /// A node asks another one for what it lacks.
+    /// Fetches what a node lacks from a random other node.
     pub(super) fn fetch_from_peer(&mut self, n: usize) {
         let nodes = self.sizes.nodes;
         let other = (n + 1 + self.rng.random_range(0..nodes - 1)) % nodes;
@@ -135,7 +136,7 @@
         served >= Some(Duration::from_secs(3))
     }
 
-    /// Puts the latest configuration in force that a node has read.
+    /// Puts the latest configuration that a node has read in force, if the start gate admits it.
     pub(super) fn apply_configuration(&mut self, n: usize) -> Result<(), String> {
         let others = || (0..self.nodes.len()).filter(|m| *m != n);
         let newest = others().map(|m| self.nodes[m].configuration).max();
@@ -156,12 +157,12 @@
         node.configuration = node.latest_read_version;
         node.gate.serving_since.get_or_insert(now);
         if is_first && node.configuration < newest {
-            return Err(format!("node {n} begins with an older configuration"));
+            return Err(format!("node {n} starts with an older configuration"));
         }
         Ok(())
     }
 
-    /// No node that serves sends work to a target that it knows to drain.
+    /// Checks that no serving node sends work to a target that it knows to be draining.
     pub(super) fn check(&mut self) -> Result<(), String> {
         let step = self.step;
         for (n, node) in self.nodes.iter_mut().enumerate() {
@@ -177,7 +178,7 @@
                 let start = (target.id.to_string(), target.started.0);
                 if node.configuration > 0 && node.drained.contains(&start) {
                     return Err(format!(
-                        "step {step}: node {n} sends to {start:?}, which drains"
+                        "step {step}: node {n} sends to {start:?}, which is draining"
                     ));
                 }
             }
@@ -185,7 +186,7 @@
         Ok(())
     }
 
-    /// Nothing more is written; all nodes see what the store holds.
+    /// Ends all writes, and checks that all nodes converge to the content of the store.
     pub(super) fn settle(&mut self) -> Result<(), String> {
         while !self.pending_writes.is_empty() || self.store.down_until > self.step {
             self.advance(1)?;
--- a/crates/azuresaddle-edge/src/control/tests/store_model/store.rs
+++ b/crates/azuresaddle-edge/src/control/tests/store_model/store.rs
@@ -1,16 +1,16 @@
-//! A store that keeps a copy after each change.
+//! Model of a store that keeps a copy before each change.
 
 use std::collections::BTreeMap;
 
-/// A key's value and its revision.
+/// Values and their revisions by key.
 pub(super) type Values = BTreeMap<String, (Vec<u8>, u64)>;
 
-/// A store with a copy after each change.
+/// A store that can be rolled back by a number of changes.
 pub(super) struct Store {
     pub(super) era: u64,
     pub(super) revision: u64,
     pub(super) values: Values,
-    /// Changes, as a watch tells them.
+    /// Changes, as a watch reports them.
     pub(super) history: Vec<(String, Option<Vec<u8>>, u64)>,
     pub(super) compacted: u64,
     pub(super) copies: Vec<(Values, u64)>,
--- a/crates/azuresaddle-edge/src/control/tests/store_model/world.rs
+++ b/crates/azuresaddle-edge/src/control/tests/store_model/world.rs
@@ -1,4 +1,4 @@
-//! The store, its writers and the nodes, step by step.
+//! Simulation of the store, its writers and the nodes in steps.
 
 use std::collections::BTreeMap;
 
@@ -17,7 +17,7 @@
     pub(super) store: Store,
     pub(super) targets: Vec<Target>,
     pub(super) version: u64,
-    /// Keys that their writers write again, and at which step.
+    /// Keys to be rewritten by their writers, and at which step.
     pub(super) pending_writes: Vec<(u64, String)>,
     pub(super) nodes: Vec<Node>,
     pub(super) start: Instant,
@@ -71,7 +71,7 @@
         targets.chain(["op/config".to_owned()]).collect()
     }
 
-    /// What a key should hold by its writer's word.
+    /// Value that a key should have according to its writer.
     pub(super) fn intended_value(&self, key: &str) -> Option<Vec<u8>> {
         let Some(name) = key.strip_prefix("servers/") else {
             return Some(self.version.to_string().into_bytes());
@@ -93,7 +93,7 @@
         self.store.write(key, value);
     }
 
-    /// Writes a key now, or once the store is back.
+    /// Writes a key now, or shortly after the store is available again.
     pub(super) fn write(&mut self, key: String) {
         if self.store.down_until > self.step {
             let late = self.rng.random_range(1..REWRITE_STEPS);
--- a/crates/azuresaddle-edge/src/control/tests/store_rollback.rs
+++ b/crates/azuresaddle-edge/src/control/tests/store_rollback.rs
@@ -1,4 +1,4 @@
-//! Which targets are believed in after the store has come back from an older copy.
+//! Tests of the targets in the registry after the store has been rolled back to an older copy.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use super::registry::{at, ids, item, item_of, removed};
 use crate::control::registry::Registry;
 
-/// The same change in the copy that the store went back to.
+/// Returns the same item at a revision of the era after the rollback.
 fn after_rollback(item: Item, revision: u64) -> Item {
     Item {
         position: StorePosition::new(StoreEra(2), revision),
@@ -16,7 +16,7 @@
     }
 }
 
-/// A registry that knows three targets and is in the first copy of the store.
+/// Creates a registry with three targets from the first era of the store.
 fn registry_with_three_targets(now: Instant) -> Registry {
     let mut registry = Registry::default();
     let all = ["a", "b", "c"];
@@ -49,7 +49,7 @@
         [("a", 1), ("b", 102), ("c", 3)].map(|(id, n)| after_rollback(item(id, "ready", n), n));
     registry.apply_listing(now, listing.into(), StorePosition::new(StoreEra(2), 103));
     assert_eq!(ids(&registry), ["c"]);
-    // It registers again, with an entry that the copy can't hold.
+    // The target registers again, with an entry that the older copy cannot contain.
     assert!(registry.apply(now, after_rollback(item("b", "ready", 113), 104)));
     assert_eq!(ids(&registry), ["b", "c"]);
 }
@@ -71,7 +71,7 @@
     let later = start + Duration::from_millis(2300);
     assert!(registry.expire_removals(later));
     assert_eq!(ids(&registry), ["a", "b"]);
-    // Other nodes take the removal for later than what they know.
+    // The removal is at a later position than what other nodes know.
     let records = registry.published().records;
     let gone = records.iter().find(|r| r.is_removed()).unwrap();
     assert!(gone.position() >= first);
@@ -105,22 +105,23 @@
     assert_eq!(after.targets.restarted_since(&before.targets), ["a".into()]);
 }
 
-/// A node that starts right after an outage reads the store without an entry that lapsed; the others still believe it.
+/// Guards against a node that starts right after an outage and reads the store without an entry
+/// that lapsed, while other nodes still keep the entry.
 #[tokio::test(start_paused = true)]
 async fn a_starting_node_does_not_take_a_lapse_for_a_removal() {
     let now = Instant::now();
-    let mut veteran = registry_with_three_targets(now);
-    veteran.on_store_reconnected(now);
-    veteran.apply(now, removed("a", 120));
+    let mut running = registry_with_three_targets(now);
+    running.on_store_reconnected(now);
+    running.apply(now, removed("a", 120));
     let mut starting = Registry::default();
     let listing = vec![item("b", "ready", 102), item("c", "ready", 103)];
     starting.apply_listing(now, listing, at(125));
-    for record in veteran.published().records.iter() {
+    for record in running.published().records.iter() {
         starting.apply_update(now, record.to_update());
     }
     assert_eq!(ids(&starting), ["a", "b", "c"]);
-    // It registers again in time, or not.
-    let mut other = veteran;
+    // The target registers again in time, so that both nodes keep it.
+    let mut other = running;
     for registry in [&mut starting, &mut other] {
         registry.apply(now, item("a", "ready", 130));
         registry.expire_removals(now + Duration::from_millis(2300));
--- a/crates/azuresaddle-edge/src/control/tests/target_record.rs
+++ b/crates/azuresaddle-edge/src/control/tests/target_record.rs
@@ -1,4 +1,4 @@
-//! What two nodes know of one entry becomes the same in any order.
+//! Tests that records of a key merge to the same result in any order.
 
 use azuresaddle_platform::{Item, StoreEra, StorePosition};
 use proptest::prelude::*;
@@ -9,7 +9,7 @@
 use super::registry::item_of;
 use crate::control::target_record::TargetRecord;
 
-/// What happens to one key.
+/// A change of one key.
 #[derive(Clone, Copy, Debug)]
 enum Change {
     Written,
@@ -29,7 +29,8 @@
     ]
 }
 
-/// All records of the key that nodes can have had: changes as they were told, and what each copy of the store held.
+/// Returns all records of the key that nodes can have had: each change as the store reported it,
+/// and the content of each older copy.
 fn records(changes: &[Change]) -> Vec<TargetRecord> {
     let (mut born, mut number, mut state) = (1000, 0, "ready");
     let (mut era, mut revision) = (1, 0);
