--- a/crates/azuresaddle-edge/src/control/actor.rs
+++ b/crates/azuresaddle-edge/src/control/actor.rs
@@ -96,9 +96,9 @@
     /// Enables the probe that detects a rollback of the store.
     pub(super) probe_enabled: watch::Sender<bool>,
     /// Whether this node has read the complete store.
-    pub(super) is_listed: bool,
+    pub(super) has_listed_store: bool,
     /// Whether the store has stopped answering this node.
-    pub(super) is_store_lost: bool,
+    pub(super) is_store_unreachable: bool,
     /// When this node last received an answer from the store.
     pub(super) store_answered_at: Option<Instant>,
     pub(super) no_answer: mpsc::Receiver<u64>,
@@ -177,8 +177,8 @@
             known_era: None,
             watch_enabled,
             probe_enabled,
-            is_listed: false,
-            is_store_lost: false,
+            has_listed_store: false,
+            is_store_unreachable: false,
             store_answered_at: None,
             no_answer: parts.no_answer,
             quarantine: parts.quarantine,
@@ -216,7 +216,7 @@
                         false
                     }
                 },
-                Some(event) = store.recv() => self.on_store(event),
+                Some(event) = store.recv() => self.on_store_event(event),
                 Some(fetched) = fetched_rx.recv() => self.on_fetched(fetched),
                 Some(update) = self.crashes_seen.recv() => {
                     self.on_crash_seen(update).await;
--- a/crates/azuresaddle-edge/src/control/datagrams.rs
+++ b/crates/azuresaddle-edge/src/control/datagrams.rs
@@ -17,16 +17,16 @@
         let ip = *from.ip();
         let now = Instant::now();
         match Datagram::decode(bytes) {
-            Some(Datagram::Heartbeat(beat)) => {
-                let is_new = !self.members.knows(ip, beat.from.incarnation);
-                let changed = self.members.on_heartbeat(now, ip, &beat);
+            Some(Datagram::Heartbeat(heartbeat)) => {
+                let is_new = !self.members.knows(ip, heartbeat.from.incarnation);
+                let changed = self.members.on_heartbeat(now, ip, &heartbeat);
                 if is_new {
                     // A node that has just started discovers the others within a round trip.
                     self.send_heartbeats(now, &[ip]).await;
                     self.send_quarantine(ip).await;
                     self.send_known_signals(ip).await;
                 }
-                let unknown = self.members.hosts_to_request(&beat);
+                let unknown = self.members.hosts_to_request(&heartbeat);
                 if !unknown.is_empty() {
                     self.send_to(ip, &Datagram::StateRequest(unknown).encode())
                         .await;
--- a/crates/azuresaddle-edge/src/control/fetch.rs
+++ b/crates/azuresaddle-edge/src/control/fetch.rs
@@ -95,7 +95,7 @@
                 return Some((addr, FetchScope::All));
             }
         }
-        if self.is_listing(now) {
+        if self.is_listing_store(now) {
             return None;
         }
         let configuration = self.version();
@@ -130,9 +130,9 @@
     ///
     /// Without this check, hundreds of nodes that start together receive each target twice, over
     /// links that some share with callers.
-    fn is_listing(&self, now: Instant) -> bool {
+    fn is_listing_store(&self, now: Instant) -> bool {
         let age = now.saturating_duration_since(self.members.started_at);
-        !self.is_listed && !self.is_store_lost && age < LISTING_WAIT
+        !self.has_listed_store && !self.is_store_unreachable && age < LISTING_WAIT
     }
 
     fn may_fetch_all(&self, now: Instant) -> bool {
--- a/crates/azuresaddle-edge/src/control/gossip.rs
+++ b/crates/azuresaddle-edge/src/control/gossip.rs
@@ -74,15 +74,20 @@
     }
 
     /// Applies a heartbeat from a host; true if it changes which nodes are live or what they offer.
-    pub(super) fn on_heartbeat(&mut self, now: Instant, from: Ipv4Addr, beat: &Heartbeat) -> bool {
-        if beat.from.ip != from {
+    pub(super) fn on_heartbeat(
+        &mut self,
+        now: Instant,
+        from: Ipv4Addr,
+        heartbeat: &Heartbeat,
+    ) -> bool {
+        if heartbeat.from.ip != from {
             return false;
         }
-        let mut changed = self.merge_state(now, &beat.from, true);
-        for state in &beat.others {
+        let mut changed = self.merge_state(now, &heartbeat.from, true);
+        for state in &heartbeat.others {
             changed |= self.merge_state(now, state, false);
         }
-        for digest in &beat.digests {
+        for digest in &heartbeat.digests {
             changed |= self.merge_digest(now, digest);
         }
         changed
@@ -97,11 +102,11 @@
     }
 
     /// Hosts in a heartbeat whose full state should be requested from the sender.
-    pub(super) fn hosts_to_request(&self, beat: &Heartbeat) -> Vec<Ipv4Addr> {
+    pub(super) fn hosts_to_request(&self, heartbeat: &Heartbeat) -> Vec<Ipv4Addr> {
         let is_unknown = |s: &&HeartbeatDigest| {
             s.ip != self.own.ip && self.members.get(&s.ip).is_none_or(|m| differs(m, s))
         };
-        let unknown = beat.digests.iter().filter(is_unknown).map(|s| s.ip);
+        let unknown = heartbeat.digests.iter().filter(is_unknown).map(|s| s.ip);
         unknown.take(MAX_REQUESTED_STATES).collect()
     }
 
--- a/crates/azuresaddle-edge/src/control/gossip_queue.rs
+++ b/crates/azuresaddle-edge/src/control/gossip_queue.rs
@@ -11,12 +11,12 @@
 
 /// Capacity of the queue; when it is full the oldest updates are dropped. A node never sends more
 /// than one datagram per round to each of four gossip peers.
-const MAX_WAITING: usize = 1024;
+const MAX_QUEUED: usize = 1024;
 
 /// Queue of updates to send, at most `PER_ROUND` of them per round.
 #[derive(Debug)]
 pub(super) struct GossipQueue<T, const PER_ROUND: usize> {
-    waiting: VecDeque<QueuedUpdate<T>>,
+    queue: VecDeque<QueuedUpdate<T>>,
 }
 
 #[derive(Debug)]
@@ -28,7 +28,7 @@
 impl<T, const PER_ROUND: usize> Default for GossipQueue<T, PER_ROUND> {
     fn default() -> Self {
         Self {
-            waiting: VecDeque::new(),
+            queue: VecDeque::new(),
         }
     }
 }
@@ -36,10 +36,10 @@
 impl<T: Clone, const PER_ROUND: usize> GossipQueue<T, PER_ROUND> {
     /// Adds an update.
     pub(super) fn push(&mut self, update: T) {
-        if self.waiting.len() >= MAX_WAITING {
-            self.waiting.pop_front();
+        if self.queue.len() >= MAX_QUEUED {
+            self.queue.pop_front();
         }
-        self.waiting.push_back(QueuedUpdate {
+        self.queue.push_back(QueuedUpdate {
             update,
             rounds_left: SEND_ROUNDS,
         });
@@ -47,18 +47,18 @@
 
     /// Returns the updates of the next round; those that were sent least often come first.
     pub(super) fn next_round(&mut self) -> Vec<T> {
-        let count = self.waiting.len().min(PER_ROUND);
-        let mut told = Vec::with_capacity(count);
+        let count = self.queue.len().min(PER_ROUND);
+        let mut updates = Vec::with_capacity(count);
         for _ in 0..count {
-            let Some(mut rumor) = self.waiting.pop_front() else {
+            let Some(mut queued) = self.queue.pop_front() else {
                 break;
             };
-            told.push(rumor.update.clone());
-            rumor.rounds_left -= 1;
-            if rumor.rounds_left > 0 {
-                self.waiting.push_back(rumor);
+            updates.push(queued.update.clone());
+            queued.rounds_left -= 1;
+            if queued.rounds_left > 0 {
+                self.queue.push_back(queued);
             }
         }
-        told
+        updates
     }
 }
--- a/crates/azuresaddle-edge/src/control/publish.rs
+++ b/crates/azuresaddle-edge/src/control/publish.rs
@@ -36,8 +36,8 @@
         let mut has_news = false;
         let is_leaving = self.members.is_leaving();
         self.members.update_own(|own| {
-            let told = (own.configuration, own.targets, own.targets_hash);
-            has_news = told != (version, position, hash) || is_leaving;
+            let announced = (own.configuration, own.targets, own.targets_hash);
+            has_news = announced != (version, position, hash) || is_leaving;
             own.configuration = version;
             own.targets = position;
             own.targets_hash = hash;
--- a/crates/azuresaddle-edge/src/control/store_events.rs
+++ b/crates/azuresaddle-edge/src/control/store_events.rs
@@ -11,14 +11,14 @@
 
 impl<N: Network> Control<N> {
     /// Handles a store event; true if there are changes to publish.
-    pub(super) fn on_store(&mut self, event: StoreEvent) -> bool {
+    pub(super) fn on_store_event(&mut self, event: StoreEvent) -> bool {
         let era = self.registry.position().era;
-        let changed = self.on_store_event(event);
+        let changed = self.apply_store_event(event);
         // Nodes that cannot reach the store learn of a rollback from this one.
         changed || self.registry.position().era != era
     }
 
-    fn on_store_event(&mut self, event: StoreEvent) -> bool {
+    fn apply_store_event(&mut self, event: StoreEvent) -> bool {
         let now = Instant::now();
         if !matches!(event, StoreEvent::Unreachable { .. }) {
             self.store_answered_at = Some(now);
@@ -26,14 +26,14 @@
         match event {
             StoreEvent::Reconnected => {
                 tracing::info!(part = "control", "store answers again");
-                self.is_store_lost = false;
+                self.is_store_unreachable = false;
                 self.registry.on_store_reconnected(now);
                 false
             }
             StoreEvent::Unreachable { reason } => {
                 tracing::warn!(part = "control", reason, "store stopped answering");
                 self.store_answered_at = None;
-                self.is_store_lost = true;
+                self.is_store_unreachable = true;
                 self.metrics.store_failures.inc();
                 false
             }
@@ -43,7 +43,7 @@
                 false
             }
             StoreEvent::Listing { items, at } => {
-                self.is_listed = true;
+                self.has_listed_store = true;
                 self.on_crash_listing(now, &items);
                 let (targets, others): (Vec<_>, Vec<_>) = items
                     .into_iter()
--- a/crates/azuresaddle-edge/src/control/store_watch.rs
+++ b/crates/azuresaddle-edge/src/control/store_watch.rs
@@ -58,7 +58,7 @@
 ) {
     let mut progress = ReadProgress::start();
     let mut era = store.subscribe_era();
-    let mut is_lost = false;
+    let mut is_unreachable = false;
     let mut backoff = FIRST_BACKOFF;
     while !tx.is_closed() {
         if progress.is_watching() && enabled.wait_for(|on| *on).await.is_err() {
@@ -78,10 +78,10 @@
         let event = match result {
             Ok(event) => {
                 backoff = FIRST_BACKOFF;
-                if is_lost && tx.send(StoreEvent::Reconnected).await.is_err() {
+                if is_unreachable && tx.send(StoreEvent::Reconnected).await.is_err() {
                     return;
                 }
-                is_lost = false;
+                is_unreachable = false;
                 event
             }
             Err(StoreError::Compacted | StoreError::WentBack) => {
@@ -92,10 +92,10 @@
                 progress.on_failure();
                 tokio::time::sleep(jittered(backoff)).await;
                 backoff = (backoff * 2).min(MAX_BACKOFF);
-                if is_lost {
+                if is_unreachable {
                     continue;
                 }
-                is_lost = true;
+                is_unreachable = true;
                 StoreEvent::Unreachable {
                     reason: e.to_string(),
                 }
--- a/crates/azuresaddle-edge/src/control/tests/failover.rs
+++ b/crates/azuresaddle-edge/src/control/tests/failover.rs
@@ -6,7 +6,7 @@
 use tokio::time::Instant;
 
 use super::fleet::Fleet;
-use super::members::{advance, beat, ip, members};
+use super::members::{advance, heartbeat, ip, members};
 use crate::control::heartbeat::Vote;
 use crate::control::members::{Members, TICK};
 use crate::snapshot::NO_OWNER;
@@ -17,7 +17,7 @@
     let informed = |own: u16| {
         let mut members = members(now, own);
         for other in (1..=nodes).filter(|n| *n != own) {
-            members.on_heartbeat(now, ip(other), &beat(other, 0));
+            members.on_heartbeat(now, ip(other), &heartbeat(other, 0));
         }
         members
     };
@@ -33,9 +33,9 @@
 
 /// Delivers a node's ownership claim to all nodes.
 fn deliver_claim(fleet: &mut [Members], claimant: u16, now: Instant) {
-    let beat = fleet[usize::from(claimant) - 1].bare_heartbeat();
+    let heartbeat = fleet[usize::from(claimant) - 1].bare_heartbeat();
     for members in fleet {
-        members.on_heartbeat(now, ip(claimant), &beat);
+        members.on_heartbeat(now, ip(claimant), &heartbeat);
     }
 }
 
@@ -58,7 +58,7 @@
     let mut now = start;
     for counter in 2..26 {
         now = advance(&mut fleet[1], now, TICK);
-        fleet[1].on_heartbeat(now, ip(1), &beat(1, counter));
+        fleet[1].on_heartbeat(now, ip(1), &heartbeat(1, counter));
     }
     assert_eq!(fleet[1].live_nodes(now).1, 2000);
 }
@@ -209,10 +209,10 @@
     let mut members = members(start, 9);
     members.started_at = start;
     members.update_own(|own| own.cpu_milli = 120);
-    members.on_heartbeat(start, ip(1), &beat(1, 1));
+    members.on_heartbeat(start, ip(1), &heartbeat(1, 1));
     assert!(!members.claim_if_first(start), "a stronger host is live");
     assert_eq!(members.live_nodes(start).1, NO_OWNER);
-    let mut claim = beat(4, 1);
+    let mut claim = heartbeat(4, 1);
     claim.from.term = 1;
     members.on_heartbeat(start, ip(4), &claim);
     assert_eq!(
@@ -230,7 +230,7 @@
     members.update_own(|own| own.configuration = 0);
     let mut now = start;
     for counter in 1..12 {
-        members.on_heartbeat(now, ip(1), &beat(1, counter));
+        members.on_heartbeat(now, ip(1), &heartbeat(1, counter));
         now = advance(&mut members, now, TICK);
     }
     assert_eq!(members.live_nodes(now).1, 1000);
--- a/crates/azuresaddle-edge/src/control/tests/fleet.rs
+++ b/crates/azuresaddle-edge/src/control/tests/fleet.rs
@@ -47,12 +47,12 @@
             changes += usize::from(members.on_tick(now));
             members.claim_if_first(now);
             if members.own.term != term {
-                let beat = members.bare_heartbeat();
+                let heartbeat = members.bare_heartbeat();
                 claims.extend(
                     members
                         .alive_hosts(now)
                         .into_iter()
-                        .map(|ip| (ip, beat.clone())),
+                        .map(|ip| (ip, heartbeat.clone())),
                 );
             }
             let to = members.heartbeat_destinations();
@@ -60,40 +60,40 @@
                 continue;
             }
             self.most_sent = self.most_sent.max(to.len());
-            let beat = members.heartbeat(now);
-            let bytes = Datagram::Heartbeat(beat.clone()).encode();
+            let heartbeat = members.heartbeat(now);
+            let bytes = Datagram::Heartbeat(heartbeat.clone()).encode();
             assert!(bytes.len() <= MAX_BYTES, "{} bytes", bytes.len());
-            sent.extend(to.into_iter().map(|ip| (ip, beat.clone())));
+            sent.extend(to.into_iter().map(|ip| (ip, heartbeat.clone())));
         }
-        for (to, beat) in claims.into_iter().chain(sent) {
+        for (to, heartbeat) in claims.into_iter().chain(sent) {
             if self.rng.random_bool(self.loss_rate) {
                 continue;
             }
-            changes += usize::from(self.deliver(to, &beat));
+            changes += usize::from(self.deliver(to, &heartbeat));
         }
         changes
     }
 
     /// Delivers a heartbeat; a receiver that does not know the sender's process replies with its
     /// own.
-    fn deliver(&mut self, to: Ipv4Addr, beat: &Heartbeat) -> bool {
+    fn deliver(&mut self, to: Ipv4Addr, heartbeat: &Heartbeat) -> bool {
         let members = &self.nodes[number(to) - 1];
-        let is_new = !members.knows(beat.from.ip, beat.from.incarnation);
-        let mut changed = self.receive(to, beat);
+        let is_new = !members.knows(heartbeat.from.ip, heartbeat.from.incarnation);
+        let mut changed = self.receive(to, heartbeat);
         if is_new {
             let reply = self.nodes[number(to) - 1].heartbeat(self.now);
-            changed |= self.receive(beat.from.ip, &reply);
+            changed |= self.receive(heartbeat.from.ip, &reply);
         }
         changed
     }
 
     /// Delivers a heartbeat to a host, which requests unknown states from the sender.
-    fn receive(&mut self, to: Ipv4Addr, beat: &Heartbeat) -> bool {
+    fn receive(&mut self, to: Ipv4Addr, heartbeat: &Heartbeat) -> bool {
         let now = self.now;
-        let from = beat.from.ip;
+        let from = heartbeat.from.ip;
         let members = &mut self.nodes[number(to) - 1];
-        let mut changed = members.on_heartbeat(now, from, beat);
-        let unknown = members.hosts_to_request(beat);
+        let mut changed = members.on_heartbeat(now, from, heartbeat);
+        let unknown = members.hosts_to_request(heartbeat);
         let answer = self.nodes[number(from) - 1].states_of(now, &unknown);
         let bytes = Datagram::StateResponse(answer.clone()).encode();
         assert!(bytes.len() <= MAX_BYTES, "{} bytes", bytes.len());
--- a/crates/azuresaddle-edge/src/control/tests/members.rs
+++ b/crates/azuresaddle-edge/src/control/tests/members.rs
@@ -39,7 +39,7 @@
     }
 }
 
-pub(super) fn beat(n: u16, counter: u32) -> Heartbeat {
+pub(super) fn heartbeat(n: u16, counter: u32) -> Heartbeat {
     Heartbeat {
         from: state(n, counter),
         others: Vec::new(),
@@ -72,13 +72,13 @@
 async fn the_oldest_node_is_the_owner_until_it_falls_silent() {
     let start = Instant::now();
     let mut members = members(start, 3);
-    assert!(members.on_heartbeat(start, ip(1), &beat(1, 1)));
-    assert!(members.on_heartbeat(start, ip(2), &beat(2, 1)));
+    assert!(members.on_heartbeat(start, ip(1), &heartbeat(1, 1)));
+    assert!(members.on_heartbeat(start, ip(2), &heartbeat(2, 1)));
     assert_eq!(members.live_nodes(start).1, 1000);
     let mut now = start;
     for counter in 2..8 {
         now = advance(&mut members, now, TICK);
-        members.on_heartbeat(now, ip(2), &beat(2, counter));
+        members.on_heartbeat(now, ip(2), &heartbeat(2, counter));
     }
     let (nodes, owner) = members.live_nodes(now);
     assert_eq!((nodes.len(), owner), (2, 2000));
@@ -88,9 +88,9 @@
 async fn a_stopping_owner_is_replaced_at_once() {
     let now = Instant::now();
     let mut members = members(now, 2);
-    members.on_heartbeat(now, ip(1), &beat(1, 1));
+    members.on_heartbeat(now, ip(1), &heartbeat(1, 1));
     assert_eq!(members.live_nodes(now).1, 1000);
-    let mut leaving = beat(1, 2);
+    let mut leaving = heartbeat(1, 2);
     leaving.from.is_leaving = true;
     assert!(members.on_heartbeat(now, ip(1), &leaving));
     let (nodes, owner) = members.live_nodes(now);
@@ -106,7 +106,7 @@
 async fn a_stall_of_this_process_marks_no_node_as_failed() {
     let start = Instant::now();
     let mut members = members(start, 3);
-    members.on_heartbeat(start, ip(1), &beat(1, 1));
+    members.on_heartbeat(start, ip(1), &heartbeat(1, 1));
     // The process was stalled for five seconds; the heartbeats of that time are still unread.
     let now = start + Duration::from_secs(5);
     members.on_tick(now);
@@ -117,15 +117,15 @@
 async fn older_states_of_a_node_are_ignored() {
     let now = Instant::now();
     let mut members = members(now, 3);
-    members.on_heartbeat(now, ip(1), &beat(1, 9));
+    members.on_heartbeat(now, ip(1), &heartbeat(1, 9));
     let mut old = state(1, 5);
     old.is_leaving = true;
-    let told = Heartbeat {
+    let relayed = Heartbeat {
         from: state(2, 1),
         others: vec![old],
         digests: Vec::new(),
     };
-    members.on_heartbeat(now, ip(2), &told);
+    members.on_heartbeat(now, ip(2), &relayed);
     let (nodes, _) = members.live_nodes(now);
     assert!(nodes.iter().all(|n| n.takes_callers));
 }
@@ -134,8 +134,8 @@
 async fn a_restarted_process_is_accepted_with_its_clock_set_back() {
     let now = Instant::now();
     let mut members = members(now, 3);
-    members.on_heartbeat(now, ip(1), &beat(1, 90));
-    let mut again = beat(1, 1);
+    members.on_heartbeat(now, ip(1), &heartbeat(1, 90));
+    let mut again = heartbeat(1, 1);
     again.from.incarnation = 77;
     again.from.started_ms = 5;
     assert!(members.on_heartbeat(now, ip(1), &again));
@@ -152,7 +152,7 @@
 async fn a_heartbeat_that_names_another_host_is_ignored() {
     let now = Instant::now();
     let mut members = members(now, 3);
-    assert!(!members.on_heartbeat(now, ip(9), &beat(1, 1)));
+    assert!(!members.on_heartbeat(now, ip(9), &heartbeat(1, 1)));
     assert_eq!(members.live_nodes(now).0.len(), 1);
 }
 
@@ -162,20 +162,20 @@
 async fn a_state_is_accepted_after_a_later_digest() {
     let now = Instant::now();
     let mut members = members(now, 3);
-    let mut starting = beat(1, 1);
+    let mut starting = heartbeat(1, 1);
     starting.from.configuration = 0;
     members.on_heartbeat(now, ip(1), &starting);
     let stale = HeartbeatDigest::new(&starting.from, 1);
     let now = now + TICK;
-    let mut told = beat(2, 1);
-    told.digests = vec![digest(1, 9)];
-    members.on_heartbeat(now, ip(2), &told);
+    let mut relayed = heartbeat(2, 1);
+    relayed.digests = vec![digest(1, 9)];
+    members.on_heartbeat(now, ip(2), &relayed);
     // The digest that this node relays meanwhile matches the state that it knows.
     assert_eq!(members.heartbeat(now).digests, [digest(2, 1), stale]);
     // The digest shows that the node accepts callers now, so its state is requested.
-    assert_eq!(members.hosts_to_request(&told), [ip(1)]);
+    assert_eq!(members.hosts_to_request(&relayed), [ip(1)]);
     assert!(members.on_states(now, &[state(1, 6)]));
-    assert!(members.hosts_to_request(&told).is_empty());
+    assert!(members.hosts_to_request(&relayed).is_empty());
     assert_eq!(members.live_nodes(now).1, 1000);
 }
 
@@ -240,15 +240,15 @@
 async fn a_node_known_only_by_digest_is_requested() {
     let now = Instant::now();
     let mut members = members(now, 3);
-    let mut told = beat(1, 1);
-    told.digests = vec![digest(9, 5), digest(3, 1)];
-    members.on_heartbeat(now, ip(1), &told);
-    assert_eq!(members.hosts_to_request(&told), [ip(9)]);
+    let mut relayed = heartbeat(1, 1);
+    relayed.digests = vec![digest(9, 5), digest(3, 1)];
+    members.on_heartbeat(now, ip(1), &relayed);
+    assert_eq!(members.hosts_to_request(&relayed), [ip(9)]);
     assert!(members.on_states(now, &[state(9, 5)]));
-    assert!(members.hosts_to_request(&told).is_empty());
+    assert!(members.hosts_to_request(&relayed).is_empty());
     // A restarted process is requested too.
-    told.digests[0].process += 1;
-    assert_eq!(members.hosts_to_request(&told), [ip(9)]);
+    relayed.digests[0].process += 1;
+    assert_eq!(members.hosts_to_request(&relayed), [ip(9)]);
 }
 
 /// Creates a node that knows 40 others, none of which gets answers from the store; its number
@@ -260,12 +260,12 @@
         state.is_watching = false;
         state
     });
-    let told = Heartbeat {
+    let relayed = Heartbeat {
         from: state(41, 1),
         others: others.collect(),
         digests: Vec::new(),
     };
-    members.on_heartbeat(now, ip(41), &told);
+    members.on_heartbeat(now, ip(41), &relayed);
     members
 }
 
@@ -287,7 +287,7 @@
         "after a second all 42 nodes watch"
     );
     // Two nodes with a working watch are enough.
-    last.on_heartbeat(later, ip(42), &beat(42, 1));
+    last.on_heartbeat(later, ip(42), &heartbeat(42, 1));
     assert!(!last.should_watch(later));
 }
 
@@ -337,7 +337,7 @@
     let now = Instant::now();
     let mut members = members(now, 5);
     for n in (1..60).filter(|n| n % 5 != 0) {
-        members.on_heartbeat(now, ip(n), &beat(n, 1));
+        members.on_heartbeat(now, ip(n), &heartbeat(n, 1));
     }
     assert_eq!(members.gossip_peers().len(), 4);
 }
--- a/crates/azuresaddle-edge/src/control/tests/registry.rs
+++ b/crates/azuresaddle-edge/src/control/tests/registry.rs
@@ -90,9 +90,9 @@
     assert_eq!(ids(&registry), ["a"]);
     // Other nodes receive the removal at its own revision.
     let records = registry.published().records;
-    let told = records.iter().find(|r| &**r.key() == "servers/b").unwrap();
-    assert!(told.is_removed());
-    assert_eq!(told.position(), at(9));
+    let record = records.iter().find(|r| &**r.key() == "servers/b").unwrap();
+    assert!(record.is_removed());
+    assert_eq!(record.position(), at(9));
 }
 
 #[tokio::test(start_paused = true)]
--- a/crates/azuresaddle-edge/src/control/tests/signals.rs
+++ b/crates/azuresaddle-edge/src/control/tests/signals.rs
@@ -89,7 +89,7 @@
 #[tokio::test(start_paused = true)]
 async fn the_latest_announcement_wins_in_any_order() {
     let now = later(0);
-    let told = |rate: Option<RateLimit>, age_ms| SignalUpdate {
+    let update_with = |rate: Option<RateLimit>, age_ms| SignalUpdate {
         target: target(),
         started: BORN,
         is_draining: false,
@@ -97,10 +97,13 @@
         limit_age: Some(Duration::from_millis(age_ms)),
     };
     let mut records = SignalRecords::default();
-    assert_eq!(records.on_gossip(now, &told(limit(1.0), 100)), limited(1.0));
-    assert_eq!(records.on_gossip(now, &told(limit(10.0), 900)), []);
-    assert_eq!(records.on_gossip(now, &told(None, 400)), []);
-    let ended = records.on_gossip(now, &told(None, 20));
+    assert_eq!(
+        records.on_gossip(now, &update_with(limit(1.0), 100)),
+        limited(1.0)
+    );
+    assert_eq!(records.on_gossip(now, &update_with(limit(10.0), 900)), []);
+    assert_eq!(records.on_gossip(now, &update_with(None, 400)), []);
+    let ended = records.on_gossip(now, &update_with(None, 20));
     assert_eq!(ended, [SignalChange::Unlimited]);
 }
 
--- a/crates/azuresaddle-edge/src/control/tests/store_model/mod.rs
+++ b/crates/azuresaddle-edge/src/control/tests/store_model/mod.rs
@@ -63,7 +63,7 @@
 }
 
 /// Number of random sequences that the test runs; the same ones each time.
-const SERIES: u32 = 1500;
+const CASES: u32 = 1500;
 
 fn runner(cases: u32) -> TestRunner {
     let config = ProptestConfig {
@@ -74,7 +74,7 @@
     TestRunner::new_with_rng(config, TestRng::deterministic_rng(RngAlgorithm::ChaCha))
 }
 
-fn series() -> impl Strategy<Value = (u64, Vec<Event>)> {
+fn event_sequences() -> impl Strategy<Value = (u64, Vec<Event>)> {
     (any::<u64>(), proptest::collection::vec(event(), 1..30))
 }
 
@@ -82,8 +82,8 @@
 #[test]
 fn all_nodes_converge_to_the_store_and_none_regresses() {
     let asked = std::env::var("AZURESADDLE_SERIES").ok();
-    let cases = asked.and_then(|n| n.parse().ok()).unwrap_or(SERIES);
-    let result = runner(cases).run(&series(), |(seed, events)| {
+    let cases = asked.and_then(|n| n.parse().ok()).unwrap_or(CASES);
+    let result = runner(cases).run(&event_sequences(), |(seed, events)| {
         run(seed, &events, Without::Nothing).map_err(TestCaseError::fail)
     });
     if let Err(e) = result {
@@ -150,9 +150,12 @@
 /// Returns how many sequences fail.
 fn failures(without: Without) -> usize {
     let mut runner = runner(0);
-    let series = series();
+    let event_sequences = event_sequences();
     let failed = (0..300).filter(|_| {
-        let (seed, events) = series.new_tree(&mut runner).expect("a series").current();
+        let (seed, events) = event_sequences
+            .new_tree(&mut runner)
+            .expect("a series")
+            .current();
         run(seed, &events, without).is_err()
     });
     failed.count()
--- a/crates/azuresaddle-edge/src/control/tests/store_model/node.rs
+++ b/crates/azuresaddle-edge/src/control/tests/store_model/node.rs
@@ -25,7 +25,7 @@
     pub(super) started_at: Instant,
     /// Position up to which it has read the store.
     pub(super) read_up_to: Option<StorePosition>,
-    pub(super) is_lost: bool,
+    pub(super) is_store_unreachable: bool,
     pub(super) disconnected_until: u64,
     /// Starts of targets that it knows to be draining.
     pub(super) drained: BTreeSet<(String, u64)>,
@@ -44,7 +44,7 @@
             latest_read_version: 0,
             started_at: now,
             read_up_to: None,
-            is_lost: false,
+            is_store_unreachable: false,
             disconnected_until: 0,
             drained: BTreeSet::new(),
             differs_since: None,
--- a/crates/azuresaddle-edge/src/control/tests/store_model/nodes.rs
+++ b/crates/azuresaddle-edge/src/control/tests/store_model/nodes.rs
@@ -18,7 +18,7 @@
             self.store.down_until <= self.step && self.nodes[n].disconnected_until <= self.step;
         let is_watching = n < self.sizes.watchers || self.nodes[n].read_up_to.is_none();
         if !is_answered {
-            self.nodes[n].is_lost = true;
+            self.nodes[n].is_store_unreachable = true;
             return;
         }
         // The answer may be lost or delayed by a step.
@@ -30,7 +30,7 @@
         let listing: Vec<Item> = self.listing();
         let node = &mut self.nodes[n];
         node.registry.on_era(now, at.era);
-        if std::mem::take(&mut node.is_lost) {
+        if std::mem::take(&mut node.is_store_unreachable) {
             node.registry.on_store_reconnected(now);
         }
         let items = match &changes {
@@ -90,19 +90,19 @@
         let nodes = self.sizes.nodes;
         let other = (n + 1 + self.rng.random_range(0..nodes - 1)) % nodes;
         let now = self.now();
-        let told = self.nodes[other].registry.published();
+        let published = self.nodes[other].registry.published();
         let position = self.nodes[other].registry.position();
         let own = self.nodes[n].registry.position();
-        let is_fresh = self.nodes[n].configuration == 0 && !self.nodes[n].gate.is_synced;
+        let is_starting = self.nodes[n].configuration == 0 && !self.nodes[n].gate.is_synced;
         let is_settled = self.is_settled(other);
         let is_newer = self.nodes[other].configuration > self.nodes[n].configuration;
         let node = &mut self.nodes[n];
         let has_same_position = position == own;
-        let differs = has_same_position && told.hash != node.registry.published().hash;
+        let differs = has_same_position && published.hash != node.registry.published().hash;
         let since = node.differs_since.take().filter(|_| differs);
         node.differs_since = differs.then(|| since.unwrap_or(self.step));
         let is_due = node.differs_since.is_some_and(|at| self.step - at >= 5);
-        let after = if (is_fresh && is_settled) || is_due {
+        let after = if (is_starting && is_settled) || is_due {
             None
         } else if position > own || is_newer {
             Some(own)
@@ -113,7 +113,7 @@
             None => node.fetches.0 += 1,
             Some(_) => node.fetches.1 += 1,
         }
-        let records = told.records.iter();
+        let records = published.records.iter();
         for record in records.filter(|r| after.is_none_or(|after| r.position() > after)) {
             node.registry.apply_update(now, record.to_update());
         }
