--- a/crates/azuresaddle-edge/src/control/crashes.rs
+++ b/crates/azuresaddle-edge/src/control/crashes.rs
@@ -58,7 +58,7 @@
                 CrashUpdate::Crash(crash) => self.on_gossiped_crash(from, *crash).await,
                 CrashUpdate::GoodEnd(end) => self.on_gossiped_good_end(*end),
                 CrashUpdate::Pardon(request) => {
-                    let is_new = self.quarantine.pardon(*request);
+                    let is_new = self.quarantine.end_quarantine(*request);
                     self.remove_stored_if_cleared(*request);
                     is_new
                 }
--- a/crates/azuresaddle-edge/src/control/members.rs
+++ b/crates/azuresaddle-edge/src/control/members.rs
@@ -187,8 +187,8 @@
         };
         let nodes = all.iter().map(|n| LiveNode {
             incarnation: n.incarnation,
-            callers: n.callers(),
-            peer: SocketAddr::from((n.ip, self.peer_port)),
+            callers_addr: n.callers(),
+            peer_addr: SocketAddr::from((n.ip, self.peer_port)),
             takes_callers: n.takes_callers(),
         });
         (nodes.collect(), owner)
--- a/crates/azuresaddle-edge/src/control/publish.rs
+++ b/crates/azuresaddle-edge/src/control/publish.rs
@@ -61,7 +61,7 @@
             target_position: position,
             nodes: Arc::new(nodes),
             owner,
-            leaving: self.members.is_leaving(),
+            is_leaving: self.members.is_leaving(),
         });
         has_news
     }
--- a/crates/azuresaddle-edge/src/directory.rs
+++ b/crates/azuresaddle-edge/src/directory.rs
@@ -36,7 +36,8 @@
     fn resolve(&self) -> Response<Body> {
         let snapshot = self.snapshots.load();
         let nodes = snapshot.nodes.iter().filter(|n| n.takes_callers);
-        let addresses: Vec<SocketAddr> = nodes.map(|n| n.callers).take(MAX_ADDRESSES).collect();
+        let addresses: Vec<SocketAddr> =
+            nodes.map(|n| n.callers_addr).take(MAX_ADDRESSES).collect();
         if addresses.is_empty() {
             return status(StatusCode::SERVICE_UNAVAILABLE);
         }
@@ -61,7 +62,7 @@
 
 /// Whether this node should get callers.
 fn is_ready(snapshot: &Snapshot) -> bool {
-    snapshot.configuration.is_some() && !snapshot.leaving
+    snapshot.configuration.is_some() && !snapshot.is_leaving
 }
 
 fn status(code: StatusCode) -> Response<Body> {
--- a/crates/azuresaddle-edge/src/forward/choose.rs
+++ b/crates/azuresaddle-edge/src/forward/choose.rs
@@ -7,8 +7,8 @@
 use azuresaddle_core::prelude::*;
 
 use super::forwarder::Forwarder;
-use crate::peer::PermitAsk;
-use crate::targets::Busy;
+use crate::peer::PermitRequest;
+use crate::targets::InFlightGuard;
 
 impl<N: Network> Forwarder<N> {
     /// The target with the least expected wait that accepts a request now.
@@ -16,7 +16,7 @@
         &self,
         service: &str,
         exclude: &[HostName],
-    ) -> Option<(Arc<TargetEntry>, Busy)> {
+    ) -> Option<(Arc<TargetEntry>, InFlightGuard)> {
         loop {
             let snapshot = self.snapshots.load();
             let targets = snapshot.targets.of_service(service);
@@ -24,7 +24,7 @@
             let Some(limit) = snapshot.rate_limits.get(&target.id).copied() else {
                 return Some((target, busy));
             };
-            let ask = PermitAsk {
+            let ask = PermitRequest {
                 target: target.id.clone(),
                 limit,
             };
--- a/crates/azuresaddle-edge/src/forward/crash_check.rs
+++ b/crates/azuresaddle-edge/src/forward/crash_check.rs
@@ -91,7 +91,7 @@
     let connect = cx.connections.checkout_new(&target.id, target.addr, share);
     match tokio::time::timeout(TIMEOUT, connect).await {
         Ok(Ok(connection)) => {
-            connection.give_back(None);
+            connection.return_to_pool(None);
             false
         }
         Ok(Err(ConnectError::Refused(e))) => e.kind() == ErrorKind::ConnectionRefused,
--- a/crates/azuresaddle-edge/src/forward/forwarder.rs
+++ b/crates/azuresaddle-edge/src/forward/forwarder.rs
@@ -19,17 +19,17 @@
 use super::retry_budget::RetryBudget;
 use super::stream::forward_stream;
 use crate::metrics::Metrics;
-use crate::placement::{Owner, Placement};
+use crate::placement::{Owner, PlacementClient};
 use crate::quarantine::SharedQuarantine;
 use crate::signals::ObservedSignals;
 use crate::snapshot::Snapshots;
-use crate::targets::{ConnectError, Connection, Connections, TargetHealth};
+use crate::targets::{ConnectError, Connection, ConnectionPool, TargetHealth};
 
 /// What relaying shares with the other parts of the node.
 pub(crate) struct ForwarderParts<N: Network> {
     pub(crate) spawner: Spawner,
     pub(crate) snapshots: Snapshots,
-    pub(crate) placement: Arc<Placement<N>>,
+    pub(crate) placement: Arc<PlacementClient<N>>,
     pub(crate) quarantine: Arc<SharedQuarantine>,
     pub(crate) signals: mpsc::Sender<ObservedSignals>,
     pub(crate) metrics: Metrics,
@@ -40,8 +40,8 @@
     pub(super) domain: FailureDomain,
     pub(super) spawner: Spawner,
     pub(super) snapshots: Snapshots,
-    pub(super) placement: Arc<Placement<N>>,
-    pub(super) connections: Connections<N>,
+    pub(super) placement: Arc<PlacementClient<N>>,
+    pub(super) connections: ConnectionPool<N>,
     pub(super) health: Arc<TargetHealth>,
     pub(super) retries: RetryBudget,
     pub(super) quarantine: Arc<SharedQuarantine>,
@@ -67,7 +67,7 @@
         let bounds = settings.bounds;
         let forwarder = Arc::new(Self {
             domain: settings.domain.clone(),
-            connections: Connections::new(net, spawner.clone()),
+            connections: ConnectionPool::new(net, spawner.clone()),
             spawner: spawner.clone(),
             snapshots,
             placement,
@@ -156,7 +156,7 @@
             .as_ref()
             .and_then(|c| c.service(&target.service));
         let most = service.map_or(u32::MAX, |s| s.max_connections);
-        Connections::<N>::share(most, snapshot.nodes.len())
+        ConnectionPool::<N>::share(most, snapshot.nodes.len())
     }
 
     /// Takes one repeat from the node's share of the budget.
--- a/crates/azuresaddle-edge/src/forward/plain.rs
+++ b/crates/azuresaddle-edge/src/forward/plain.rs
@@ -271,7 +271,7 @@
 ) {
     cx.metrics.on_send(&target.service, failure.label());
     match failure {
-        SendFailure::WrongTarget => cx.health.on_gone(&target.id),
+        SendFailure::WrongTarget => cx.health.on_address_reused(&target.id),
         SendFailure::Declined { .. } => cx.health.on_refused(&target.id),
         SendFailure::BacksOff => cx.metrics.on_held_back(&target.service, "back-off"),
         SendFailure::Silent => {
@@ -316,7 +316,7 @@
         Ok(Ok(body)) => body.to_bytes(),
     };
     if let Some(kept) = kept_for(&parts.headers) {
-        connection.give_back(kept.0);
+        connection.return_to_pool(kept.0);
     }
     let mut headers = parts.headers;
     strip_hop_by_hop(&mut headers);
--- a/crates/azuresaddle-edge/src/forward/signals.rs
+++ b/crates/azuresaddle-edge/src/forward/signals.rs
@@ -31,7 +31,7 @@
             .back_off
             .filter(|time| turns_away(status) && !time.is_zero());
         if let Some(back_off) = back_off {
-            self.health.back_offs().note(&target.id, back_off);
+            self.health.back_offs().start(&target.id, back_off);
             self.metrics.on_target_signal("back-off");
             let back_off_ms = back_off.as_millis() as u64;
             tracing::info!(part = "forward", target = %target.id, back_off_ms, "target asks to back off");
--- a/crates/azuresaddle-edge/src/forward/stream/place.rs
+++ b/crates/azuresaddle-edge/src/forward/stream/place.rs
@@ -10,8 +10,8 @@
 
 use super::{FirstPlace, MAX_DECLINED, NoPlace, RETRY_AFTER, Relay};
 use crate::forward::attempt::until;
-use crate::placement::{PlaceRequest, Placed};
-use crate::targets::Busy;
+use crate::placement::{PlaceRequest, PlacementGuard};
+use crate::targets::InFlightGuard;
 
 /// Part of the latency target kept for the way back to the caller.
 const FIRST_EVENT_MARGIN: Duration = Duration::from_millis(12);
@@ -35,8 +35,8 @@
 pub(super) struct Place<N: Network> {
     pub(super) target: Arc<TargetEntry>,
     pub(super) helpers: Vec<Arc<TargetEntry>>,
-    pub(super) placed: Option<Placed<N>>,
-    _busy: Option<Busy>,
+    pub(super) placed: Option<PlacementGuard<N>>,
+    _busy: Option<InFlightGuard>,
     pub(super) first_event_patience: Duration,
 }
 
@@ -118,7 +118,7 @@
                 .on_placed(&self.req.service, asked_at.elapsed());
             let snapshot = self.cx.snapshots.load();
             let known = snapshot.targets.get(&placed.lead);
-            let usable = known.filter(|t| !self.cx.health.is_gone(&t.id));
+            let usable = known.filter(|t| !self.cx.health.is_address_reused(&t.id));
             let Some(target) = usable.cloned() else {
                 // The owner has not heard yet that the target is gone.
                 let lead = placed.lead.clone();
--- a/crates/azuresaddle-edge/src/forward/stream/send.rs
+++ b/crates/azuresaddle-edge/src/forward/stream/send.rs
@@ -111,7 +111,7 @@
             Ok(Ok(body)) => body.to_bytes(),
         };
         if let Some(kept) = kept_for(&parts.headers) {
-            connection.give_back(kept.0);
+            connection.return_to_pool(kept.0);
         }
         let mut response = Response::new(ProxyBody::whole(body));
         *response.status_mut() = parts.status;
@@ -179,7 +179,7 @@
             return Sent::Lost(SendFailure::Broken("ended inside an event".to_owned()));
         }
         if let Some(kept) = kept {
-            connection.give_back(kept.0);
+            connection.return_to_pool(kept.0);
         }
         self.completion.set();
         if !self.begin(&mut begin) || self.pieces.send(Piece::End).await.is_err() {
--- a/crates/azuresaddle-edge/src/forward/target_call.rs
+++ b/crates/azuresaddle-edge/src/forward/target_call.rs
@@ -100,7 +100,7 @@
     let body = Limited::new(body, MAX_ANSWER_BYTES).collect().await;
     let body = body.map_err(|e| SendFailure::Broken(e.to_string()))?;
     if let Some(kept) = kept_for(&parts.headers) {
-        connection.give_back(kept.0);
+        connection.return_to_pool(kept.0);
     }
     if parts.status != StatusCode::OK {
         return Err(SendFailure::Declined {
--- a/crates/azuresaddle-edge/src/lib.rs
+++ b/crates/azuresaddle-edge/src/lib.rs
@@ -9,8 +9,8 @@
 mod forward;
 mod frontend;
 mod metrics;
-mod metrics_page;
 mod node;
+mod operator_endpoints;
 mod peer;
 mod placement;
 mod quarantine;
@@ -18,6 +18,6 @@
 mod snapshot;
 mod targets;
 
-pub use metrics_page::{BURN_PATH, QUARANTINE_PATH};
 pub use node::{Node, NodeOptions, OpenError};
+pub use operator_endpoints::{BURN_PATH, QUARANTINE_PATH};
 pub use quarantine::QuarantinedRequest;
--- a/crates/azuresaddle-edge/src/node.rs
+++ b/crates/azuresaddle-edge/src/node.rs
@@ -23,33 +23,33 @@
 use crate::forward::{Forwarder, ForwarderParts, InFlight};
 use crate::frontend::{CallerService, Stopping, serve_callers};
 use crate::metrics::Metrics;
-use crate::metrics_page::MetricsPage;
+use crate::operator_endpoints::OperatorEndpoints;
 use crate::peer::{PeerClients, serve_peers};
-use crate::placement::{Owner, Placement, PlacementParts};
+use crate::placement::{Owner, PlacementClient, PlacementClientParts};
 use crate::quarantine::SharedQuarantine;
 use crate::snapshot::{LiveNode, NO_OWNER, Snapshot, Snapshots, TargetSet};
 
 /// Part of the grace of a stop after which new requests are refused: callers have had their time to
 /// live to learn of other addresses.
-const CLOSING_SHARE: f64 = 0.34;
+const REFUSE_AFTER_SHARE: f64 = 0.34;
 
 /// Time kept of the grace for the process to end.
 const EXIT_MARGIN: Duration = Duration::from_millis(500);
 
 /// News of silent nodes that wait for control; it needs one at a time.
-const MAX_NO_ANSWER: usize = 8;
+const UNRESPONSIVE_OWNER_QUEUE_CAPACITY: usize = 8;
 
 /// Crashes under this node's requests that wait for control: those of a dozen full targets.
-const MAX_CRASHES_SEEN: usize = 256;
+const CRASH_QUEUE_CAPACITY: usize = 256;
 
 /// Signals of targets that wait for control: those of a few hundred answers.
-const MAX_SIGNALS_OBSERVED: usize = 256;
+const SIGNAL_QUEUE_CAPACITY: usize = 256;
 
 /// Engines that wait to be asked for their pace; a pool that suspects more of them asks again.
-const MAX_PACE_QUESTIONS: usize = 64;
+const PACE_QUESTION_QUEUE_CAPACITY: usize = 64;
 
 /// Time between two looks whether all answers are finished.
-const DRAIN_POLL: Duration = Duration::from_millis(50);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// The node can't be opened.
 #[derive(Debug, Error)]
@@ -101,12 +101,13 @@
         let incarnation = rand::rng().random_range(NO_OWNER + 1..=u64::MAX);
         let snapshots = Snapshots::new(first_snapshot(&settings, incarnation));
         let leaving = CancellationToken::new();
-        let socket = open_socket(&settings, &control).await?;
+        let socket = bind_heartbeat_socket(&settings, &control).await?;
         let control_spawner = spawner.on_runtime(control);
-        let (no_answer, no_answer_rx) = mpsc::channel(MAX_NO_ANSWER);
-        let (crashes, crashes_seen) = mpsc::channel(MAX_CRASHES_SEEN);
+        let (unresponsive_owners, unresponsive_owners_rx) =
+            mpsc::channel(UNRESPONSIVE_OWNER_QUEUE_CAPACITY);
+        let (crashes, crashes_seen) = mpsc::channel(CRASH_QUEUE_CAPACITY);
         let quarantine = SharedQuarantine::new(crashes, metrics.clone());
-        let (signals, signals_observed) = mpsc::channel(MAX_SIGNALS_OBSERVED);
+        let (signals, signals_observed) = mpsc::channel(SIGNAL_QUEUE_CAPACITY);
         Control::spawn(ControlParts {
             settings: settings.clone(),
             net: net.clone(),
@@ -116,13 +117,13 @@
             socket,
             snapshots: snapshots.clone(),
             leaving: leaving.clone(),
-            no_answer: no_answer_rx,
+            no_answer: unresponsive_owners_rx,
             quarantine: Arc::clone(&quarantine),
             crashes_seen,
             signals_observed,
             metrics: metrics.clone(),
         });
-        let (pace_questions, pace_questions_rx) = mpsc::channel(MAX_PACE_QUESTIONS);
+        let (pace_questions, pace_questions_rx) = mpsc::channel(PACE_QUESTION_QUEUE_CAPACITY);
         let all = PassOptions::default();
         let placing = options.without.iter().fold(all, |o, m| o.without(*m));
         let owner = Owner::spawn(&spawner, &snapshots, incarnation, placing, pace_questions);
@@ -130,15 +131,15 @@
         let peers = bind(&net, "calls between nodes", peer_addr).await?;
         let served = Arc::clone(&owner);
         serve_peers(peers, &spawner, served, snapshots.clone(), incarnation);
-        let placement = Placement::spawn(
+        let placement = PlacementClient::spawn(
             &spawner,
-            PlacementParts {
+            PlacementClientParts {
                 node: incarnation,
                 domain: settings.domain.clone(),
                 owner: Arc::clone(&owner),
                 peers: PeerClients::new(net.clone(), spawner.clone()),
                 snapshots: snapshots.clone(),
-                no_answer,
+                unresponsive_owners,
             },
         );
         let parts = ForwarderParts {
@@ -151,7 +152,7 @@
         };
         let forwarder = Forwarder::spawn(net.clone(), &settings, parts);
         forwarder.check_paces(owner, pace_questions_rx);
-        let page = Arc::new(MetricsPage {
+        let endpoints = Arc::new(OperatorEndpoints {
             metrics,
             burn: forwarder.burn(),
             quarantine,
@@ -178,7 +179,7 @@
         }
         if let Some(port) = options.metrics_port {
             let addr = SocketAddr::from((settings.ip, port));
-            serve_metrics(&net, &spawner, addr, page).await;
+            serve_metrics(&net, &spawner, addr, endpoints).await;
         }
         Ok(Self {
             leaving,
@@ -200,14 +201,14 @@
         );
         self.leaving.cancel();
         self.stopping.advance();
-        tokio::time::sleep_until(started + self.grace.mul_f64(CLOSING_SHARE)).await;
+        tokio::time::sleep_until(started + self.grace.mul_f64(REFUSE_AFTER_SHARE)).await;
         self.stopping.advance();
         let end = started + self.grace - EXIT_MARGIN;
         // Callers that were told this address before may still come for a moment, and get a refusal
         // rather than a closed port.
-        tokio::time::sleep(DRAIN_POLL * 4).await;
+        tokio::time::sleep(DRAIN_POLL_INTERVAL * 4).await;
         while self.in_flight.count() > 0 && Instant::now() < end {
-            tokio::time::sleep(DRAIN_POLL).await;
+            tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
         }
         self.closed.cancel();
         tracing::info!(
@@ -222,8 +223,8 @@
 fn first_snapshot(settings: &NodeSettings, incarnation: u64) -> Snapshot {
     let own = LiveNode {
         incarnation,
-        callers: settings.listen.callers,
-        peer: SocketAddr::from((settings.ip, settings.peer_port)),
+        callers_addr: settings.listen.callers,
+        peer_addr: SocketAddr::from((settings.ip, settings.peer_port)),
         takes_callers: false,
     };
     Snapshot {
@@ -235,7 +236,7 @@
         target_position: StorePosition::default(),
         nodes: Arc::new(vec![own]),
         owner: NO_OWNER,
-        leaving: false,
+        is_leaving: false,
     }
 }
 
@@ -244,18 +245,26 @@
     net: &N,
     spawner: &Spawner,
     addr: SocketAddr,
-    page: Arc<MetricsPage>,
+    endpoints: Arc<OperatorEndpoints>,
 ) {
     match bind(net, "metrics", addr).await {
         Ok(listener) => {
-            serve(listener, spawner.clone(), ServerLimits::default(), page);
+            serve(
+                listener,
+                spawner.clone(),
+                ServerLimits::default(),
+                endpoints,
+            );
         }
         Err(e) => tracing::warn!(part = "node", error = %e, "no metrics"),
     }
 }
 
 /// Opens the socket for heartbeats on the runtime that reads it.
-async fn open_socket(settings: &NodeSettings, control: &Handle) -> Result<UdpSocket, OpenError> {
+async fn bind_heartbeat_socket(
+    settings: &NodeSettings,
+    control: &Handle,
+) -> Result<UdpSocket, OpenError> {
     let addr = SocketAddr::from((settings.ip, settings.heartbeat_port));
     let opened = control.spawn(UdpSocket::bind(addr)).await;
     opened
--- a/crates/azuresaddle-edge/src/metrics_page.rs
+++ b/crates/azuresaddle-edge/src/operator_endpoints.rs
@@ -31,18 +31,18 @@
 const JSON_FORMAT: &str = "application/json";
 
 /// Serves the metrics, the service-level counts and the quarantine.
-pub(crate) struct MetricsPage {
+pub(crate) struct OperatorEndpoints {
     pub(crate) metrics: Metrics,
     pub(crate) burn: Arc<BurnRecorder>,
     pub(crate) quarantine: Arc<SharedQuarantine>,
 }
 
-impl MetricsPage {
+impl OperatorEndpoints {
     fn end_quarantine(&self, request: &str) -> Response<Body> {
         let Ok(request) = request.parse::<Fingerprint>() else {
             return status(StatusCode::BAD_REQUEST);
         };
-        if self.quarantine.end_by_operator(request) {
+        if self.quarantine.end_quarantine_everywhere(request) {
             status(StatusCode::NO_CONTENT)
         } else {
             status(StatusCode::NOT_FOUND)
@@ -50,7 +50,7 @@
     }
 }
 
-impl Handler for MetricsPage {
+impl Handler for OperatorEndpoints {
     async fn handle(self: Arc<Self>, req: Request<Incoming>) -> Response<Body> {
         let path = req.uri().path();
         let below = |parent: &str| path.strip_prefix(parent)?.strip_prefix('/');
--- a/crates/azuresaddle-edge/src/peer/messages.rs
+++ b/crates/azuresaddle-edge/src/peer/messages.rs
@@ -13,7 +13,7 @@
 
 /// Asks the owner to place a stream. Times are relative, since clocks differ.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub(crate) struct AskMessage {
+pub(crate) struct PlaceMessage {
     pub(crate) id: PlacementId,
     pub(crate) service: String,
     pub(crate) account: ClientAccount,
@@ -37,7 +37,7 @@
 
 /// The owner's decision.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub(crate) enum AskReply {
+pub(crate) enum PlaceReply {
     /// Send it now.
     Granted {
         lead: HostName,
@@ -48,9 +48,9 @@
     /// Not run, and never will be.
     Refused { retry_after: Duration },
     /// The node does not know the service; ask again.
-    Unknown,
+    NoDecision,
     /// Another node places streams; ask there.
-    Moved {
+    Redirect {
         /// Where nodes call it.
         peer: SocketAddr,
     },
@@ -58,7 +58,7 @@
 
 /// Asks the owner whether a request may pass to a plain target that limits its rate.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub(crate) struct PermitAsk {
+pub(crate) struct PermitRequest {
     pub(crate) target: HostName,
     /// The limit that the asking node knows, in case the owner has not heard of any.
     pub(crate) limit: RateLimit,
@@ -86,7 +86,7 @@
 
 /// News of a stream for the owner.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub(crate) struct Report {
+pub(crate) struct StreamReport {
     pub(crate) id: PlacementId,
     pub(crate) service: String,
     pub(crate) kind: ReportKind,
--- a/crates/azuresaddle-edge/src/peer/mod.rs
+++ b/crates/azuresaddle-edge/src/peer/mod.rs
@@ -5,7 +5,8 @@
 mod service;
 
 pub(crate) use messages::{
-    AskMessage, AskReply, PeerUpdate, PermitAsk, PermitReply, Report, ReportKind, SyncMessage,
+    PeerUpdate, PermitReply, PermitRequest, PlaceMessage, PlaceReply, ReportKind, StreamReport,
+    SyncMessage,
 };
 pub(crate) use server::serve_peers;
 use service::{EdgePeerClient, EdgePeerRequest, EdgePeerResponse};
--- a/crates/azuresaddle-edge/src/peer/server.rs
+++ b/crates/azuresaddle-edge/src/peer/server.rs
@@ -12,7 +12,7 @@
 use tokio::io::{AsyncRead, AsyncWrite};
 
 use super::messages::{
-    AskMessage, AskReply, PeerUpdate, PermitAsk, PermitReply, Report, SyncMessage,
+    PeerUpdate, PermitReply, PermitRequest, PlaceMessage, PlaceReply, StreamReport, SyncMessage,
 };
 use super::service::EdgePeer;
 use crate::placement::Owner;
@@ -59,25 +59,25 @@
     fn other_owner(&self) -> Option<SocketAddr> {
         let snapshot = self.snapshots.load();
         let owner = snapshot.node(snapshot.owner)?;
-        (owner.incarnation != self.node).then_some(owner.peer)
+        (owner.incarnation != self.node).then_some(owner.peer_addr)
     }
 }
 
 impl EdgePeer for PeerServer {
-    async fn ask(self, _: Context, ask: AskMessage) -> AskReply {
+    async fn place(self, _: Context, message: PlaceMessage) -> PlaceReply {
         // An owner that was replaced while it stalled would place without knowledge of the other's
         // streams for as long as nodes ask it.
         match self.other_owner() {
-            Some(peer) if !ask.is_redirected => AskReply::Moved { peer },
-            _ => self.owner.ask(ask).await,
+            Some(peer) if !message.is_redirected => PlaceReply::Redirect { peer },
+            _ => self.owner.place(message).await,
         }
     }
 
-    async fn permit(self, _: Context, ask: PermitAsk) -> PermitReply {
-        self.owner.permit(&ask)
+    async fn permit(self, _: Context, req: PermitRequest) -> PermitReply {
+        self.owner.permit(&req)
     }
 
-    async fn report(self, _: Context, reports: Vec<Report>) {
+    async fn report(self, _: Context, reports: Vec<StreamReport>) {
         self.owner.report(reports);
     }
 
--- a/crates/azuresaddle-edge/src/placement/client.rs
+++ b/crates/azuresaddle-edge/src/placement/client.rs
@@ -11,20 +11,20 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
 
+use super::guard::PlacementGuard;
 use super::owner::Owner;
-use super::placed::Placed;
 use super::reporter::{run_reporter, run_sync};
-use crate::peer::{AskMessage, AskReply, PeerClients, Report, ReportKind, SyncMessage};
+use crate::peer::{PeerClients, PlaceMessage, PlaceReply, ReportKind, StreamReport, SyncMessage};
 use crate::snapshot::{NO_OWNER, Snapshots};
 
 /// Pause before an owner that did not answer is asked again.
 const RETRY_PAUSE: Duration = Duration::from_millis(25);
 
 /// Time without an owner after which this node places alone, by what it knows of its own streams.
-const OWNER_PATIENCE: Duration = Duration::from_millis(200);
+const LOCAL_PLACEMENT_DELAY: Duration = Duration::from_millis(200);
 
 /// Reports that wait to be sent.
-const MAX_WAITING_REPORTS: usize = 4096;
+const REPORT_QUEUE_CAPACITY: usize = 4096;
 
 /// What is asked for.
 #[derive(Clone, Debug)]
@@ -45,7 +45,7 @@
 
 /// An ask or stream of this node.
 #[derive(Debug)]
-pub(super) enum Live {
+pub(super) enum StreamState {
     Waiting,
     Running {
         service: Arc<str>,
@@ -56,7 +56,7 @@
 }
 
 /// What placement needs.
-pub(crate) struct PlacementParts<N> {
+pub(crate) struct PlacementClientParts<N> {
     /// Incarnation of this node.
     pub(crate) node: u64,
     /// Failure domain of this node.
@@ -65,40 +65,40 @@
     pub(crate) peers: PeerClients<N>,
     pub(crate) snapshots: Snapshots,
     /// Tells control of an owner that does not answer.
-    pub(crate) no_answer: mpsc::Sender<u64>,
+    pub(crate) unresponsive_owners: mpsc::Sender<u64>,
 }
 
 /// Asks the owner, and keeps it informed.
-pub(crate) struct Placement<N> {
+pub(crate) struct PlacementClient<N> {
     node: u64,
     domain: FailureDomain,
     owner: Arc<Owner>,
     peers: PeerClients<N>,
     snapshots: Snapshots,
-    next: AtomicU64,
-    live: Mutex<HashMap<PlacementId, Live>>,
-    reports: mpsc::Sender<Report>,
+    next_number: AtomicU64,
+    streams: Mutex<HashMap<PlacementId, StreamState>>,
+    reports: mpsc::Sender<StreamReport>,
     /// Grows when the connection to the owner was found dead, so that asks on it start anew.
     reconnects: watch::Sender<u64>,
     /// Tells control of an owner that does not answer.
-    no_answer: mpsc::Sender<u64>,
+    unresponsive_owners: mpsc::Sender<u64>,
 }
 
-impl<N: Network> Placement<N> {
+impl<N: Network> PlacementClient<N> {
     /// Starts the reports to the owner.
-    pub(crate) fn spawn(spawner: &Spawner, parts: PlacementParts<N>) -> Arc<Self> {
-        let (reports, reports_rx) = mpsc::channel(MAX_WAITING_REPORTS);
+    pub(crate) fn spawn(spawner: &Spawner, parts: PlacementClientParts<N>) -> Arc<Self> {
+        let (reports, reports_rx) = mpsc::channel(REPORT_QUEUE_CAPACITY);
         let placement = Arc::new(Self {
             node: parts.node,
             domain: parts.domain,
             owner: parts.owner,
             peers: parts.peers,
             snapshots: parts.snapshots,
-            next: AtomicU64::new(1),
-            live: Mutex::default(),
+            next_number: AtomicU64::new(1),
+            streams: Mutex::default(),
             reports,
             reconnects: watch::Sender::new(0),
-            no_answer: parts.no_answer,
+            unresponsive_owners: parts.unresponsive_owners,
         });
         spawner.spawn(run_reporter(Arc::clone(&placement), reports_rx));
         spawner.spawn(run_sync(Arc::clone(&placement)));
@@ -109,15 +109,18 @@
     ///
     /// # Errors
     /// The time after which to come back, where the stream is refused; it did not run.
-    pub(crate) async fn place(self: &Arc<Self>, req: PlaceRequest) -> Result<Placed<N>, Duration> {
-        let number = self.next.fetch_add(1, Ordering::Relaxed);
+    pub(crate) async fn place(
+        self: &Arc<Self>,
+        req: PlaceRequest,
+    ) -> Result<PlacementGuard<N>, Duration> {
+        let number = self.next_number.fetch_add(1, Ordering::Relaxed);
         let id = PlacementId {
             node: self.node,
             number,
         };
-        self.lock().insert(id, Live::Waiting);
+        self.lock().insert(id, StreamState::Waiting);
         // From here on the guard forgets the ask when it is dropped.
-        let mut placed = Placed {
+        let mut placed = PlacementGuard {
             placement: Arc::clone(self),
             id,
             service: Arc::clone(&req.service),
@@ -127,9 +130,9 @@
             first_event_in: Duration::ZERO,
             is_ended: false,
         };
-        let reply = self.ask_until_decided(id, &req).await;
+        let reply = self.request_until_decided(id, &req).await;
         match reply {
-            AskReply::Granted {
+            PlaceReply::Granted {
                 lead,
                 helpers,
                 helper_memory_tokens,
@@ -147,7 +150,7 @@
                     first_event_in,
                     suspect: req.suspect,
                 };
-                let running = Live::Running {
+                let running = StreamState::Running {
                     service: req.service,
                     stream,
                     first_event_at: Instant::now() + first_event_in,
@@ -159,49 +162,49 @@
                 placed.first_event_in = first_event_in;
                 Ok(placed)
             }
-            AskReply::Refused { retry_after } => Err(retry_after),
-            AskReply::Unknown | AskReply::Moved { .. } => Err(RETRY_PAUSE),
+            PlaceReply::Refused { retry_after } => Err(retry_after),
+            PlaceReply::NoDecision | PlaceReply::Redirect { .. } => Err(RETRY_PAUSE),
         }
     }
 
     /// Asks whoever is the owner, anew after each change, until there is a decision.
-    async fn ask_until_decided(&self, id: PlacementId, req: &PlaceRequest) -> AskReply {
-        let mut owner = self.snapshots.subscribe_owner();
+    async fn request_until_decided(&self, id: PlacementId, req: &PlaceRequest) -> PlaceReply {
+        let mut owner_changes = self.snapshots.subscribe_owner();
         let mut reconnects = self.reconnects.subscribe();
         let mut failing_since: Option<Instant> = None;
         loop {
             let now = Instant::now();
             if now >= req.deadline {
-                return AskReply::Unknown;
+                return PlaceReply::NoDecision;
             }
-            let who = *owner.borrow_and_update();
+            let owner = *owner_changes.borrow_and_update();
             reconnects.mark_unchanged();
-            if who == NO_OWNER {
+            if owner == NO_OWNER {
                 // The node has just started; soon it knows whom to ask.
                 let left = req.deadline.saturating_duration_since(now);
-                let _ = tokio::time::timeout(left, owner.changed()).await;
+                let _ = tokio::time::timeout(left, owner_changes.changed()).await;
                 continue;
             }
-            let alone = failing_since.is_some_and(|at| now - at >= OWNER_PATIENCE);
+            let is_local = failing_since.is_some_and(|at| now - at >= LOCAL_PLACEMENT_DELAY);
             let reply = tokio::select! {
-                reply = self.ask_once(who, id, req, alone) => reply,
-                _ = owner.changed() => continue,
+                reply = self.request_once(owner, id, req, is_local) => reply,
+                _ = owner_changes.changed() => continue,
                 _ = reconnects.changed() => continue,
             };
             match &reply {
-                Some(AskReply::Unknown | AskReply::Moved { .. }) | None => {
+                Some(PlaceReply::NoDecision | PlaceReply::Redirect { .. }) | None => {
                     if failing_since.is_none() {
                         tracing::info!(
                             part = "placement",
-                            owner = who,
+                            owner,
                             waited_ms = now.elapsed().as_millis() as u64,
                             answered = reply.is_some(),
                             "owner gave no decision"
                         );
                     }
                     let since = *failing_since.get_or_insert(now);
-                    if now - since >= OWNER_PATIENCE / 2 {
-                        self.suspect(who);
+                    if now - since >= LOCAL_PLACEMENT_DELAY / 2 {
+                        self.report_unresponsive(owner);
                     }
                     tokio::time::sleep(RETRY_PAUSE).await;
                 }
@@ -210,15 +213,15 @@
         }
     }
 
-    async fn ask_once(
+    async fn request_once(
         &self,
-        who: u64,
+        owner: u64,
         id: PlacementId,
         req: &PlaceRequest,
-        alone: bool,
-    ) -> Option<AskReply> {
+        is_local: bool,
+    ) -> Option<PlaceReply> {
         let now = Instant::now();
-        let ask = AskMessage {
+        let message = PlaceMessage {
             id,
             service: req.service.to_string(),
             account: req.account.clone(),
@@ -233,30 +236,36 @@
             suspect: req.suspect,
             is_redirected: false,
         };
-        if who == self.node || alone {
-            if alone {
+        if owner == self.node || is_local {
+            if is_local {
                 self.owner.sync(&self.sync_message());
             }
-            return Some(self.owner.ask(ask).await);
+            return Some(self.owner.place(message).await);
         }
-        let peer = self.snapshots.load().node(who)?.peer;
-        match self.ask_peer(peer, ask.clone()).await? {
-            AskReply::Moved { peer } => {
-                let redirected = AskMessage {
+        let peer = self.snapshots.load().node(owner)?.peer_addr;
+        match self.request_from_peer(peer, message.clone()).await? {
+            PlaceReply::Redirect { peer } => {
+                let redirected = PlaceMessage {
                     is_redirected: true,
-                    ..ask
+                    ..message
                 };
-                self.ask_peer(peer, redirected).await
+                self.request_from_peer(peer, redirected).await
             }
             reply => Some(reply),
         }
     }
 
-    async fn ask_peer(&self, peer: SocketAddr, ask: AskMessage) -> Option<AskReply> {
-        let timeout = ask.time_left;
+    async fn request_from_peer(
+        &self,
+        peer: SocketAddr,
+        message: PlaceMessage,
+    ) -> Option<PlaceReply> {
+        let timeout = message.time_left;
         let reply = self
             .peers
-            .call(peer, timeout, async |client, cx| client.ask(cx, ask).await)
+            .call(peer, timeout, async |client, cx| {
+                client.place(cx, message).await
+            })
             .await;
         reply.ok()
     }
@@ -264,13 +273,13 @@
     /// All streams of this node.
     pub(super) fn sync_message(&self) -> SyncMessage {
         let now = Instant::now();
-        let live = self.lock();
+        let streams = self.lock();
         let mut running = Vec::new();
         let mut waiting = Vec::new();
-        for (id, state) in live.iter() {
+        for (id, state) in streams.iter() {
             match state {
-                Live::Waiting => waiting.push(*id),
-                Live::Running {
+                StreamState::Waiting => waiting.push(*id),
+                StreamState::Running {
                     service,
                     stream,
                     first_event_at,
@@ -287,13 +296,13 @@
             node: self.node,
             running,
             waiting,
-            up_to: self.next.load(Ordering::Relaxed).saturating_sub(1),
+            up_to: self.next_number.load(Ordering::Relaxed).saturating_sub(1),
         }
     }
 
     /// Tells the owner what happened to a stream.
     pub(super) fn report(&self, id: PlacementId, service: &Arc<str>, kind: ReportKind) {
-        let report = Report {
+        let report = StreamReport {
             id,
             service: service.to_string(),
             kind,
@@ -325,18 +334,18 @@
     }
 
     /// Makes asks on the present connection to the owner start anew, and tells control of it.
-    pub(super) fn on_no_answer(&self, owner: u64) {
+    pub(super) fn on_unresponsive_owner(&self, owner: u64) {
         self.reconnects.send_modify(|n| *n += 1);
-        self.suspect(owner);
+        self.report_unresponsive(owner);
     }
 
     /// Control passes over an owner that does not answer for a while.
-    fn suspect(&self, owner: u64) {
+    fn report_unresponsive(&self, owner: u64) {
         // A full channel holds the same news already.
-        let _ = self.no_answer.try_send(owner);
+        let _ = self.unresponsive_owners.try_send(owner);
     }
 
-    pub(super) fn lock(&self) -> MutexGuard<'_, HashMap<PlacementId, Live>> {
-        self.live.lock().unwrap_or_else(PoisonError::into_inner)
+    pub(super) fn lock(&self) -> MutexGuard<'_, HashMap<PlacementId, StreamState>> {
+        self.streams.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/azuresaddle-edge/src/placement/placed.rs
+++ b/crates/azuresaddle-edge/src/placement/guard.rs
@@ -6,12 +6,12 @@
 use azuresaddle_core::prelude::*;
 use azuresaddle_sched::passes::{PlacementId, StreamOutcome};
 
-use super::client::{Live, Placement};
+use super::client::{PlacementClient, StreamState};
 use crate::peer::ReportKind;
 
 /// Engines for a stream, held until it ends.
-pub(crate) struct Placed<N: Network> {
-    pub(super) placement: Arc<Placement<N>>,
+pub(crate) struct PlacementGuard<N: Network> {
+    pub(super) placement: Arc<PlacementClient<N>>,
     pub(super) id: PlacementId,
     pub(super) service: Arc<str>,
     pub(crate) lead: HostName,
@@ -22,11 +22,11 @@
     pub(super) is_ended: bool,
 }
 
-impl<N: Network> Placed<N> {
+impl<N: Network> PlacementGuard<N> {
     /// Notes the first event.
     pub(crate) fn on_first_event(&self) {
-        if let Some(Live::Running { stream, .. }) = self.placement.lock().get_mut(&self.id) {
-            stream.is_decoding = true;
+        if let Some(StreamState::Running { stream, .. }) = self.placement.lock().get_mut(&self.id) {
+            stream.is_writing = true;
             stream.first_event_in = Duration::ZERO;
         }
         self.placement
@@ -45,7 +45,7 @@
         self.is_ended = true;
         let was_running = matches!(
             self.placement.lock().remove(&self.id),
-            Some(Live::Running { .. })
+            Some(StreamState::Running { .. })
         );
         // A waiting ask is withdrawn by its dropped call.
         if was_running {
@@ -55,7 +55,7 @@
     }
 }
 
-impl<N: Network> Drop for Placed<N> {
+impl<N: Network> Drop for PlacementGuard<N> {
     fn drop(&mut self) {
         self.finish(StreamOutcome::Cancelled);
     }
--- a/crates/azuresaddle-edge/src/placement/owner.rs
+++ b/crates/azuresaddle-edge/src/placement/owner.rs
@@ -13,13 +13,15 @@
 use tokio::sync::{Notify, mpsc, oneshot};
 use tokio::time::Instant;
 
-use super::owner_state::State;
-use crate::peer::{AskMessage, AskReply, PermitAsk, PermitReply, Report, ReportKind, SyncMessage};
+use super::owner_state::OwnerState;
+use crate::peer::{
+    PermitReply, PermitRequest, PlaceMessage, PlaceReply, ReportKind, StreamReport, SyncMessage,
+};
 use crate::snapshot::{Snapshot, Snapshots};
 
 /// The pools of this node.
 pub(crate) struct Owner {
-    state: Mutex<State>,
+    state: Mutex<OwnerState>,
     changed: Notify,
     /// Engines that should be asked for their pace.
     pace_questions: mpsc::Sender<HostName>,
@@ -37,49 +39,49 @@
         options: PassOptions,
         pace_questions: mpsc::Sender<HostName>,
     ) -> Arc<Self> {
-        let state = State {
+        let state = OwnerState {
             options,
-            ..State::default()
+            ..OwnerState::default()
         };
         let owner = Arc::new(Self {
             state: Mutex::new(state),
             changed: Notify::new(),
             pace_questions,
         });
-        spawner.spawn(Arc::clone(&owner).follow(snapshots.clone(), node));
-        spawner.spawn(Arc::clone(&owner).keep_time());
+        spawner.spawn(Arc::clone(&owner).follow_snapshots(snapshots.clone(), node));
+        spawner.spawn(Arc::clone(&owner).run_timer());
         owner
     }
 
     /// Keeps the pools' engines as the snapshots have them.
-    async fn follow(self: Arc<Self>, snapshots: Snapshots, node: u64) {
+    async fn follow_snapshots(self: Arc<Self>, snapshots: Snapshots, node: u64) {
         let mut changes = snapshots.subscribe();
         loop {
             let snapshot = snapshots.load();
-            self.refresh(&snapshot, node);
+            self.apply_snapshot(&snapshot, node);
             if changes.changed().await.is_err() {
                 return;
             }
         }
     }
 
-    fn refresh(&self, snapshot: &Snapshot, node: u64) {
+    fn apply_snapshot(&self, snapshot: &Snapshot, node: u64) {
         let Some(configuration) = &snapshot.configuration else {
             return;
         };
         let now = Instant::now();
         let mut state = self.lock();
-        state.note_owner(now, snapshot, node);
-        state.follow_targets(now, configuration, &snapshot.targets);
-        state.follow_rate_limits(now, &snapshot.rate_limits);
-        state.follow_nodes(&snapshot.nodes);
+        state.update_ownership(now, snapshot, node);
+        state.update_targets(now, configuration, &snapshot.targets);
+        state.update_rate_limits(now, &snapshot.rate_limits);
+        state.update_nodes(&snapshot.nodes);
         state.dispatch(now);
         drop(state);
         self.changed.notify_one();
     }
 
     /// Dispatches when a pool's own time has come.
-    async fn keep_time(self: Arc<Self>) {
+    async fn run_timer(self: Arc<Self>) {
         loop {
             let next = self.lock().next_wakeup(Instant::now());
             tokio::select! {
@@ -90,56 +92,56 @@
     }
 
     /// Places a stream; withdrawn when the caller drops the future.
-    pub(crate) async fn ask(&self, ask: AskMessage) -> AskReply {
-        let id = ask.id;
-        let Some(rx) = self.enqueue(ask) else {
-            return AskReply::Unknown;
+    pub(crate) async fn place(&self, message: PlaceMessage) -> PlaceReply {
+        let id = message.id;
+        let Some(rx) = self.enqueue(message) else {
+            return PlaceReply::NoDecision;
         };
-        let mut undecided = Undecided {
+        let mut guard = WithdrawOnDrop {
             owner: self,
             id: Some(id),
         };
         let decision = rx.await;
         if decision.is_ok() {
-            undecided.id = None;
+            guard.id = None;
         }
         match decision {
-            Ok(PlacementDecision::Granted(grant)) => AskReply::Granted {
+            Ok(PlacementDecision::Granted(grant)) => PlaceReply::Granted {
                 lead: grant.lead,
                 helpers: grant.helpers,
                 helper_memory_tokens: grant.helper_memory_tokens,
                 first_event_in: grant.first_event_in,
             },
-            Ok(PlacementDecision::Refused { retry_after }) => AskReply::Refused { retry_after },
-            Err(_) => AskReply::Unknown,
+            Ok(PlacementDecision::Refused { retry_after }) => PlaceReply::Refused { retry_after },
+            Err(_) => PlaceReply::NoDecision,
         }
     }
 
-    fn enqueue(&self, ask: AskMessage) -> Option<oneshot::Receiver<PlacementDecision>> {
+    fn enqueue(&self, message: PlaceMessage) -> Option<oneshot::Receiver<PlacementDecision>> {
         let now = Instant::now();
         let mut state = self.lock();
-        let pool = state.pools.get_mut(ask.service.as_str())?;
+        let pool = state.pools.get_mut(message.service.as_str())?;
         pool.enqueue(
             now,
             PlacementRequest {
-                id: ask.id,
-                account: ask.account,
-                domain: ask.domain,
-                prompt_tokens: ask.prompt_tokens,
-                answer_tokens: ask.answer_tokens,
-                first_event_by: now + ask.first_event_in,
-                pause: ask.pause,
-                give_up_at: now + ask.give_up_in,
-                deadline: now + ask.time_left,
-                exclude: ask.exclude,
-                suspect: ask.suspect,
+                id: message.id,
+                account: message.account,
+                domain: message.domain,
+                prompt_tokens: message.prompt_tokens,
+                answer_tokens: message.answer_tokens,
+                first_event_by: now + message.first_event_in,
+                pause: message.pause,
+                give_up_at: now + message.give_up_in,
+                deadline: now + message.time_left,
+                exclude: message.exclude,
+                suspect: message.suspect,
             },
         );
         let (tx, rx) = oneshot::channel();
-        state.waiters.insert(ask.id, tx);
+        state.waiters.insert(message.id, tx);
         state.dispatch(now);
-        self.ask_paces(&mut state, now);
-        let waits = state.waiters.contains_key(&ask.id);
+        self.queue_pace_questions(&mut state, now);
+        let waits = state.waiters.contains_key(&message.id);
         drop(state);
         if waits {
             self.changed.notify_one();
@@ -148,19 +150,19 @@
     }
 
     /// Takes a token for a request of any node to a plain target that limits its rate.
-    pub(crate) fn permit(&self, ask: &PermitAsk) -> PermitReply {
+    pub(crate) fn permit(&self, req: &PermitRequest) -> PermitReply {
         let mut state = self.lock();
         if !state.is_owner {
             return PermitReply::NotOwner;
         }
-        match state.take_permit(Instant::now(), &ask.target, ask.limit) {
+        match state.take_permit(Instant::now(), &req.target, req.limit) {
             Ok(()) => PermitReply::Granted,
             Err(wait) => PermitReply::Denied { wait },
         }
     }
 
     /// Takes news of streams.
-    pub(crate) fn report(&self, reports: Vec<Report>) {
+    pub(crate) fn report(&self, reports: Vec<StreamReport>) {
         let now = Instant::now();
         let mut state = self.lock();
         for report in reports {
@@ -173,12 +175,12 @@
             }
         }
         state.dispatch(now);
-        self.ask_paces(&mut state, now);
+        self.queue_pace_questions(&mut state, now);
         drop(state);
         self.changed.notify_one();
     }
 
-    fn ask_paces(&self, state: &mut State, now: Instant) {
+    fn queue_pace_questions(&self, state: &mut OwnerState, now: Instant) {
         for engine in state.take_pace_questions(now) {
             // A question that finds no room comes again with the next overdue event.
             let _ = self.pace_questions.try_send(engine);
@@ -218,7 +220,7 @@
             let is_known = |id: PlacementId| id.number > sync.up_to || sync.waiting.contains(&id);
             pool.sync_node(now, sync.node, &running, is_known);
         }
-        state.note_told(sync.node);
+        state.mark_synced(sync.node);
         state.dispatch(now);
         drop(state);
         self.changed.notify_one();
@@ -236,18 +238,18 @@
         self.changed.notify_one();
     }
 
-    fn lock(&self) -> MutexGuard<'_, State> {
+    fn lock(&self) -> MutexGuard<'_, OwnerState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 /// Withdraws an ask whose future is dropped before a decision.
-struct Undecided<'a> {
+struct WithdrawOnDrop<'a> {
     owner: &'a Owner,
     id: Option<PlacementId>,
 }
 
-impl Drop for Undecided<'_> {
+impl Drop for WithdrawOnDrop<'_> {
     fn drop(&mut self) {
         if let Some(id) = self.id {
             self.owner.withdraw(id);
--- a/crates/azuresaddle-edge/src/placement/owner_state.rs
+++ b/crates/azuresaddle-edge/src/placement/owner_state.rs
@@ -17,15 +17,15 @@
 
 /// Longest time that a new owner waits for the nodes to tell their streams: many round trips, and
 /// half of the time that a short prompt can wait.
-const HANDOVER: Duration = Duration::from_millis(120);
+const MAX_HANDOVER_WAIT: Duration = Duration::from_millis(120);
 
 /// Shortest time between two rounds of placement while asks wait: a tenth of a pass, so nobody's wait
 /// grows by more than that.
-const MIN_ROUND: Duration = Duration::from_millis(4);
+const MIN_ROUND_INTERVAL: Duration = Duration::from_millis(4);
 
 /// What the owner keeps under its lock.
 #[derive(Default)]
-pub(super) struct State {
+pub(super) struct OwnerState {
     /// What its pools do.
     pub(super) options: PassOptions,
     pub(super) pools: HashMap<Arc<str>, PassPool>,
@@ -38,7 +38,7 @@
     pub(super) nodes: Arc<Vec<LiveNode>>,
     pub(super) rate_limits: Arc<HashMap<HostName, RateLimit>>,
     /// Token buckets of plain targets that limit their rate.
-    pub(super) plain_rates: HashMap<HostName, RateBucket>,
+    pub(super) plain_target_buckets: HashMap<HostName, RateBucket>,
     /// When the next round may begin; `None` where no ask was left waiting by the last one.
     pub(super) next_round: Option<Instant>,
     /// Whether something happened since the last round.
@@ -51,43 +51,43 @@
 /// read by all engines, since none seemed to run anything, and every short stream was late.
 pub(super) struct Handover {
     /// Nodes that have not told their streams.
-    pub(super) missing: HashSet<u64>,
+    pub(super) unsynced: HashSet<u64>,
     pub(super) until: Instant,
 }
 
 /// Stands for nodes that a node which has just started has not heard of.
-const UNKNOWN: u64 = 0;
+const UNKNOWN_NODE: u64 = 0;
 
 impl Handover {
     fn new(now: Instant, snapshot: &Snapshot) -> Self {
         let nodes = snapshot.nodes.iter().map(|n| n.incarnation);
-        let mut missing: HashSet<u64> = nodes.collect();
+        let mut unsynced: HashSet<u64> = nodes.collect();
         // Alone it may be one of many that start together; each would place on the same engines.
-        if missing.len() == 1 {
-            missing.insert(UNKNOWN);
+        if unsynced.len() == 1 {
+            unsynced.insert(UNKNOWN_NODE);
         }
         Self {
-            missing,
-            until: now + HANDOVER,
+            unsynced,
+            until: now + MAX_HANDOVER_WAIT,
         }
     }
 
     /// Waits for nodes that are heard of meanwhile, too.
-    fn follow(&mut self, snapshot: &Snapshot, before: &[LiveNode]) {
+    fn update_nodes(&mut self, snapshot: &Snapshot, before: &[LiveNode]) {
         if snapshot.nodes.len() > 1 {
-            self.missing.remove(&UNKNOWN);
+            self.unsynced.remove(&UNKNOWN_NODE);
         }
         for node in snapshot.nodes.iter() {
             if before.iter().all(|b| b.incarnation != node.incarnation) {
-                self.missing.insert(node.incarnation);
+                self.unsynced.insert(node.incarnation);
             }
         }
     }
 }
 
-impl State {
+impl OwnerState {
     /// Begins to wait for the other nodes where this one becomes the owner.
-    pub(super) fn note_owner(&mut self, now: Instant, snapshot: &Snapshot, node: u64) {
+    pub(super) fn update_ownership(&mut self, now: Instant, snapshot: &Snapshot, node: u64) {
         let is_owner = snapshot.owner == node;
         if is_owner && !self.is_owner {
             let waits = self.options.handover_wait;
@@ -102,7 +102,7 @@
             self.handover = None;
         }
         if let Some(handover) = &mut self.handover {
-            handover.follow(snapshot, &self.nodes);
+            handover.update_nodes(snapshot, &self.nodes);
         }
         if is_owner != self.is_owner {
             self.set_placing(now, is_owner);
@@ -111,7 +111,7 @@
     }
 
     /// Brings the engines of all pools up to the targets; nearly every snapshot has the same ones.
-    pub(super) fn follow_targets(
+    pub(super) fn update_targets(
         &mut self,
         now: Instant,
         configuration: &Arc<Configuration>,
@@ -149,14 +149,14 @@
 
     /// Notes whether this node places for all nodes. Counts of an earlier term are dropped.
     fn set_placing(&mut self, now: Instant, is_placing: bool) {
-        self.plain_rates.clear();
+        self.plain_target_buckets.clear();
         for pool in self.pools.values_mut() {
             pool.set_owner(now, is_placing);
         }
     }
 
     /// Takes the rate limits of targets.
-    pub(super) fn follow_rate_limits(
+    pub(super) fn update_rate_limits(
         &mut self,
         now: Instant,
         limits: &Arc<HashMap<HostName, RateLimit>>,
@@ -168,7 +168,8 @@
         for pool in self.pools.values_mut() {
             pool.set_rate_limits(now, |id| limits.get(id));
         }
-        self.plain_rates.retain(|id, _| limits.contains_key(id));
+        self.plain_target_buckets
+            .retain(|id, _| limits.contains_key(id));
     }
 
     /// Takes a token for a request to a plain target that limits its rate.
@@ -184,7 +185,7 @@
         // The asking node may know of the limit before this one does.
         let limit = self.rate_limits.get(target).copied().unwrap_or(limit);
         let rate = self
-            .plain_rates
+            .plain_target_buckets
             .entry(target.clone())
             .or_insert(RateBucket::new(now, limit));
         rate.set_limit(now, limit);
@@ -195,7 +196,7 @@
     }
 
     /// Forgets streams of nodes that are gone.
-    pub(super) fn follow_nodes(&mut self, nodes: &Arc<Vec<LiveNode>>) {
+    pub(super) fn update_nodes(&mut self, nodes: &Arc<Vec<LiveNode>>) {
         if Arc::ptr_eq(&self.nodes, nodes) {
             return;
         }
@@ -206,22 +207,22 @@
         self.nodes = Arc::clone(nodes);
     }
 
-    pub(super) fn note_told(&mut self, node: u64) {
+    pub(super) fn mark_synced(&mut self, node: u64) {
         if let Some(handover) = &mut self.handover {
-            handover.missing.remove(&node);
+            handover.unsynced.remove(&node);
         }
     }
 
     /// Whether the ledger may lack streams of other nodes.
     pub(super) fn is_taking_over(&mut self, now: Instant) -> bool {
-        let goes_on = self
+        let is_ongoing = self
             .handover
             .as_ref()
-            .is_some_and(|h| now < h.until && !h.missing.is_empty());
-        if !goes_on {
+            .is_some_and(|h| now < h.until && !h.unsynced.is_empty());
+        if !is_ongoing {
             self.handover = None;
         }
-        goes_on
+        is_ongoing
     }
 
     /// Engines that should be asked for their pace; none where another node places.
@@ -250,17 +251,17 @@
         for pool in pools.values_mut() {
             pool.dispatch(now);
             for (id, decision) in pool.take_decisions() {
-                let told = waiters
+                let is_delivered = waiters
                     .remove(&id)
                     .is_some_and(|tx| tx.send(decision).is_ok());
-                if !told {
+                if !is_delivered {
                     // Whoever asked is gone, so nothing will run.
                     pool.end(now, id, &StreamOutcome::Cancelled);
                 }
             }
         }
         let is_waiting = self.pools.values().any(|p| p.waiting() > 0);
-        self.next_round = is_waiting.then(|| now + MIN_ROUND);
+        self.next_round = is_waiting.then(|| now + MIN_ROUND_INTERVAL);
         self.is_round_due = false;
     }
 
--- a/crates/azuresaddle-edge/src/placement/permits.rs
+++ b/crates/azuresaddle-edge/src/placement/permits.rs
@@ -4,22 +4,22 @@
 
 use azuresaddle_core::prelude::*;
 
-use super::client::Placement;
-use crate::peer::{PermitAsk, PermitReply};
+use super::client::PlacementClient;
+use crate::peer::{PermitReply, PermitRequest};
 
 /// Longest wait for the owner's answer: many round trips, and a part of the time that a plain request has.
-const TIMEOUT: Duration = Duration::from_millis(60);
+const PERMIT_TIMEOUT: Duration = Duration::from_millis(60);
 
 /// Time for which a target is left alone where no owner answers.
 const NO_OWNER_WAIT: Duration = Duration::from_millis(200);
 
-impl<N: Network> Placement<N> {
+impl<N: Network> PlacementClient<N> {
     /// Asks the node that counts the requests of all nodes whether one may pass.
     ///
     /// # Errors
     /// The time for which the target is to be left alone.
-    pub(crate) async fn permit(&self, ask: PermitAsk) -> Result<(), Duration> {
-        match self.ask_permit(ask).await {
+    pub(crate) async fn permit(&self, req: PermitRequest) -> Result<(), Duration> {
+        match self.request_permit(req).await {
             PermitReply::Granted => Ok(()),
             PermitReply::Denied { wait } => Err(wait),
             // While the owner changes no node counts for all.
@@ -27,17 +27,19 @@
         }
     }
 
-    async fn ask_permit(&self, ask: PermitAsk) -> PermitReply {
+    async fn request_permit(&self, req: PermitRequest) -> PermitReply {
         if self.is_owner() {
-            return self.local_owner().permit(&ask);
+            return self.local_owner().permit(&req);
         }
         let snapshot = self.snapshots().load();
         let Some(owner) = snapshot.node(snapshot.owner) else {
             return PermitReply::NotOwner;
         };
-        let call = self.peers().call(owner.peer, TIMEOUT, async |client, cx| {
-            client.permit(cx, ask.clone()).await
-        });
+        let call = self
+            .peers()
+            .call(owner.peer_addr, PERMIT_TIMEOUT, async |client, cx| {
+                client.permit(cx, req.clone()).await
+            });
         call.await.unwrap_or(PermitReply::NotOwner)
     }
 }
--- a/crates/azuresaddle-edge/src/placement/tests/permits.rs
+++ b/crates/azuresaddle-edge/src/placement/tests/permits.rs
@@ -8,7 +8,7 @@
 use azuresaddle_core::prelude::*;
 use tokio::time::Instant;
 
-use crate::placement::owner_state::State;
+use crate::placement::owner_state::OwnerState;
 
 /// Span in which a limit is checked.
 const SPAN: Duration = Duration::from_secs(4);
@@ -22,7 +22,7 @@
 }
 
 /// Asks without pause; how many requests pass.
-fn passed(state: &mut State, from: Instant, length: Duration) -> usize {
+fn passed(state: &mut OwnerState, from: Instant, length: Duration) -> usize {
     let moments = (0..length.as_millis() as u64).map(|ms| from + Duration::from_millis(ms));
     moments
         .filter(|now| state.take_permit(*now, &target(), limit(1.9)).is_ok())
@@ -30,32 +30,32 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_limit_holds_for_the_sum_of_all_that_ask() {
+async fn the_limit_holds_for_requests_of_all_nodes_together() {
     let now = Instant::now();
-    let mut state = State::default();
+    let mut state = OwnerState::default();
     let total = passed(&mut state, now, SPAN * 5);
     assert!((36..=41).contains(&total), "{total}");
 }
 
 #[tokio::test(start_paused = true)]
-async fn who_asks_in_vain_is_told_when_the_next_one_may_pass() {
+async fn a_denied_permit_says_when_the_next_request_may_pass() {
     let now = Instant::now();
-    let mut state = State::default();
+    let mut state = OwnerState::default();
     let wait = state.take_permit(now, &target(), limit(0.5)).unwrap_err();
     assert_eq!(wait, Duration::from_secs(2));
     assert!(state.take_permit(now + wait, &target(), limit(0.5)).is_ok());
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_limit_that_was_lifted_and_named_again_is_counted_anew() {
+async fn a_limit_that_is_removed_and_set_again_starts_a_new_bucket() {
     let now = Instant::now();
-    let mut state = State::default();
+    let mut state = OwnerState::default();
     let limits = |rate| Arc::new(HashMap::from([(target(), limit(rate))]));
-    state.follow_rate_limits(now, &limits(1.0));
+    state.update_rate_limits(now, &limits(1.0));
     assert!(passed(&mut state, now, SPAN) <= 5);
-    state.follow_rate_limits(now + SPAN, &Arc::default());
-    assert!(state.plain_rates.is_empty());
-    state.follow_rate_limits(now + SPAN, &limits(1.0));
+    state.update_rate_limits(now + SPAN, &Arc::default());
+    assert!(state.plain_target_buckets.is_empty());
+    state.update_rate_limits(now + SPAN, &limits(1.0));
     let total = passed(&mut state, now + SPAN, SPAN);
     assert!(
         total <= 5,
--- a/crates/azuresaddle-edge/src/placement/tests/rounds.rs
+++ b/crates/azuresaddle-edge/src/placement/tests/rounds.rs
@@ -11,7 +11,7 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-use crate::placement::owner_state::State;
+use crate::placement::owner_state::OwnerState;
 
 fn engine() -> EngineSpec {
     EngineSpec {
@@ -47,8 +47,8 @@
 }
 
 /// A state with one engine of one slot.
-fn state(now: Instant) -> State {
-    let mut state = State::default();
+fn state(now: Instant) -> OwnerState {
+    let mut state = OwnerState::default();
     let mut pool = PassPool::new(PassOptions::default(), engine());
     pool.upsert_engine(now, &HostName::new("e1"), &FailureDomain::new("d1"), false);
     state.pools.insert(Arc::from("svc"), pool);
@@ -56,7 +56,7 @@
 }
 
 /// An ask arrives; its decision comes out of the receiver.
-fn arrive(state: &mut State, now: Instant, number: u64) -> oneshot::Receiver<PlacementDecision> {
+fn arrive(state: &mut OwnerState, now: Instant, number: u64) -> oneshot::Receiver<PlacementDecision> {
     let ask = ask(now, number);
     let (tx, rx) = oneshot::channel();
     state.waiters.insert(ask.id, tx);
@@ -67,7 +67,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn asks_that_find_no_room_in_one_moment_share_a_round() {
+async fn requests_that_find_no_room_at_the_same_time_share_a_round() {
     let now = Instant::now();
     let mut state = state(now);
     let _asked: Vec<_> = (0..200).map(|n| arrive(&mut state, now, n)).collect();
@@ -79,7 +79,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_ask_that_finds_room_waits_for_no_round() {
+async fn a_request_that_finds_room_is_placed_at_once() {
     let now = Instant::now();
     let mut state = state(now);
     let _asked = arrive(&mut state, now, 1);
--- a/crates/azuresaddle-edge/src/quarantine/mod.rs
+++ b/crates/azuresaddle-edge/src/quarantine/mod.rs
@@ -1,9 +1,9 @@
 //! Requests that crash their targets, as traffic and control share them.
 
-mod listed;
+mod quarantined_request;
 mod shared;
 mod update;
 
-pub use listed::QuarantinedRequest;
+pub use quarantined_request::QuarantinedRequest;
 pub(crate) use shared::SharedQuarantine;
 pub(crate) use update::CrashUpdate;
--- a/crates/azuresaddle-edge/src/quarantine/shared.rs
+++ b/crates/azuresaddle-edge/src/quarantine/shared.rs
@@ -13,40 +13,40 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
 
-use super::listed::QuarantinedRequest;
+use super::quarantined_request::QuarantinedRequest;
 use super::update::CrashUpdate;
 use crate::metrics::Metrics;
 
 /// The quarantine of this node, asked by traffic and told to other nodes by control.
 pub(crate) struct SharedQuarantine {
-    state: Mutex<Quarantine>,
+    quarantine: Mutex<Quarantine>,
     /// Good ends of requests of which nothing is known.
-    recent: Mutex<RecentSuccessfulRuns>,
+    recent_good_ends: Mutex<RecentSuccessfulRuns>,
     /// Requests that something is known of; with none of them nobody takes the lock.
-    known: AtomicUsize,
+    known_requests: AtomicUsize,
     /// Grows with each request that goes into quarantine.
     changes: watch::Sender<u64>,
     /// What this node has seen itself, for control.
-    seen: mpsc::Sender<CrashUpdate>,
+    observed: mpsc::Sender<CrashUpdate>,
     metrics: Metrics,
 }
 
 impl SharedQuarantine {
     /// An empty quarantine that tells control of all that this node sees itself.
-    pub(crate) fn new(seen: mpsc::Sender<CrashUpdate>, metrics: Metrics) -> Arc<Self> {
+    pub(crate) fn new(observed: mpsc::Sender<CrashUpdate>, metrics: Metrics) -> Arc<Self> {
         Arc::new(Self {
-            state: Mutex::default(),
-            recent: Mutex::default(),
-            known: AtomicUsize::new(0),
+            quarantine: Mutex::default(),
+            recent_good_ends: Mutex::default(),
+            known_requests: AtomicUsize::new(0),
             changes: watch::Sender::new(0),
-            seen,
+            observed,
             metrics,
         })
     }
 
     /// How a request stands.
     pub(crate) fn standing(&self, request: Fingerprint) -> RequestStatus {
-        if self.known.load(Ordering::Relaxed) == 0 {
+        if self.known_requests.load(Ordering::Relaxed) == 0 {
             return RequestStatus::Clear;
         }
         self.lock().status(Instant::now(), request)
@@ -54,7 +54,7 @@
 
     /// The request as a suspect, where a target has ended while it had it.
     pub(crate) fn suspect(&self, request: Fingerprint) -> Option<Suspect> {
-        if self.known.load(Ordering::Relaxed) == 0 {
+        if self.known_requests.load(Ordering::Relaxed) == 0 {
             return None;
         }
         let state = self.lock();
@@ -78,60 +78,60 @@
     /// Notes that this node saw a target end under a send of a request that began at `sent_at`.
     pub(crate) fn on_crash(&self, request: Fingerprint, target: &TargetEntry, sent_at: Instant) {
         let life = TargetIncarnation {
-            target: hash_of(target),
+            target: target_hash(target),
             number: 0,
         };
-        self.recall_good_ends(Crash {
+        self.count_remembered_good_ends(Crash {
             fingerprint: request,
             target: life,
         });
         let crash = self.update(request, |state, now| {
-            state.observe_crash(now, request, hash_of(target), sent_at)
+            state.observe(now, request, target_hash(target), sent_at)
         });
         if let Some(crash) = crash {
-            self.tell(CrashUpdate::Crash(crash));
+            self.send_to_control(CrashUpdate::Crash(crash));
         }
     }
 
     /// Whether something is known of a request.
     pub(crate) fn knows(&self, request: Fingerprint) -> bool {
-        self.known.load(Ordering::Relaxed) > 0 && self.lock().knows(request)
+        self.known_requests.load(Ordering::Relaxed) > 0 && self.lock().knows(request)
     }
 
     /// Whether an end of a target is known from before a send to it.
     pub(crate) fn has_ended_before(&self, target: &TargetEntry, sent_at: Instant) -> bool {
-        self.lock().has_crashed_before(hash_of(target), sent_at)
+        self.lock().has_ended_before(target_hash(target), sent_at)
     }
 
     /// Remembers a good end for a while, in case something will be held against the request.
     pub(crate) fn remember_good_end(&self, end: SuccessfulRun, target: &TargetEntry) {
         self.lock_recent()
-            .note(Instant::now(), end, hash_of(target));
+            .note(Instant::now(), end, target_hash(target));
     }
 
     /// Notes that this node saw a run of a request come to a good end which its target survived.
     pub(crate) fn on_good_end(&self, end: SuccessfulRun) {
         if self.learn_good_end(end) {
-            self.tell(CrashUpdate::GoodEnd(end));
+            self.send_to_control(CrashUpdate::GoodEnd(end));
         }
     }
 
     /// Counts what this node has seen for a request against which something is held now.
-    fn recall_good_ends(&self, crash: Crash) {
+    fn count_remembered_good_ends(&self, crash: Crash) {
         let state = self.lock();
         let has_ended = |target| target == crash.target.target || state.knows_crash_of(target);
         let mut recent = self.lock_recent();
-        let recalled = recent.take(Instant::now(), crash.fingerprint, has_ended);
+        let remembered = recent.take(Instant::now(), crash.fingerprint, has_ended);
         drop(recent);
         drop(state);
-        for end in recalled {
+        for end in remembered {
             self.on_good_end(end);
         }
     }
 
     /// Takes a crash that another node has seen.
     pub(crate) fn learn_crash(&self, crash: Crash) -> CrashStatus {
-        self.recall_good_ends(crash);
+        self.count_remembered_good_ends(crash);
         self.update(crash.fingerprint, |state, now| state.on_crash(now, crash))
     }
 
@@ -144,21 +144,21 @@
 
     /// Ends a quarantine by an operator's word, given here or to another node; false where nothing was held against the
     /// request.
-    pub(crate) fn pardon(&self, request: Fingerprint) -> bool {
-        let was_held = self.update(request, |state, _| state.lift(request));
-        if was_held {
+    pub(crate) fn end_quarantine(&self, request: Fingerprint) -> bool {
+        let was_known = self.update(request, |state, _| state.pardon(request));
+        if was_known {
             tracing::warn!(part = "control", fingerprint = %request, "quarantine ended by an operator");
         }
-        was_held
+        was_known
     }
 
     /// Ends a quarantine by an operator's word, and tells the other nodes.
-    pub(crate) fn end_by_operator(&self, request: Fingerprint) -> bool {
-        let was_held = self.pardon(request);
-        if was_held {
-            self.tell(CrashUpdate::Pardon(request));
+    pub(crate) fn end_quarantine_everywhere(&self, request: Fingerprint) -> bool {
+        let was_known = self.end_quarantine(request);
+        if was_known {
+            self.send_to_control(CrashUpdate::Pardon(request));
         }
-        was_held
+        was_known
     }
 
     /// Changes what is known of a request, and tells where that brings it into quarantine.
@@ -171,8 +171,8 @@
         let mut state = self.lock();
         let before = state.status(now, request);
         let changed = change(&mut state, now);
-        let after = state.status(now, request);
-        self.known.store(state.len(), Ordering::Relaxed);
+        let after = state.standing(now, request);
+        self.known_requests.store(state.len(), Ordering::Relaxed);
         if before.is_quarantined() && !after.is_quarantined() {
             tracing::info!(part = "control", fingerprint = %request, "request cleared");
         }
@@ -229,27 +229,31 @@
     /// Forgets what no longer matters.
     pub(crate) fn forget_old(&self) {
         let mut state = self.lock();
-        state.remove_expired(Instant::now());
-        self.known.store(state.len(), Ordering::Relaxed);
+        state.forget_old(Instant::now());
+        self.known_requests.store(state.len(), Ordering::Relaxed);
     }
 
-    fn tell(&self, update: CrashUpdate) {
-        if self.seen.try_send(update).is_err() {
+    fn send_to_control(&self, update: CrashUpdate) {
+        if self.observed.try_send(update).is_err() {
             tracing::warn!(part = "forward", ?update, "crash not told, queue full");
         }
     }
 
     fn lock_recent(&self) -> MutexGuard<'_, RecentSuccessfulRuns> {
-        self.recent.lock().unwrap_or_else(PoisonError::into_inner)
+        self.recent_good_ends
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     fn lock(&self) -> MutexGuard<'_, Quarantine> {
-        self.state.lock().unwrap_or_else(PoisonError::into_inner)
+        self.quarantine
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 /// Names a target's start the same way on all nodes.
-fn hash_of(target: &TargetEntry) -> u64 {
+fn target_hash(target: &TargetEntry) -> u64 {
     let text = format!("{}/{}", target.id, target.started.0);
     xxhash_rust::xxh3::xxh3_64(text.as_bytes())
 }
--- a/crates/azuresaddle-edge/src/snapshot.rs
+++ b/crates/azuresaddle-edge/src/snapshot.rs
@@ -20,9 +20,9 @@
 pub(crate) struct LiveNode {
     pub(crate) incarnation: u64,
     /// Where callers connect.
-    pub(crate) callers: SocketAddr,
+    pub(crate) callers_addr: SocketAddr,
     /// Where nodes call it.
-    pub(crate) peer: SocketAddr,
+    pub(crate) peer_addr: SocketAddr,
     /// Whether callers may be sent there.
     pub(crate) takes_callers: bool,
 }
@@ -93,7 +93,7 @@
     /// Incarnation of the node that places streams; [`NO_OWNER`] for none.
     pub(crate) owner: u64,
     /// Whether this node is stopping.
-    pub(crate) leaving: bool,
+    pub(crate) is_leaving: bool,
 }
 
 impl Snapshot {
--- a/crates/azuresaddle-edge/src/targets/back_offs.rs
+++ b/crates/azuresaddle-edge/src/targets/back_offs.rs
@@ -15,7 +15,7 @@
 
 impl BackOffs {
     /// Notes a back-off; a shorter one does not cut a longer one short.
-    pub(crate) fn note(&self, target: &HostName, time: Duration) {
+    pub(crate) fn start(&self, target: &HostName, time: Duration) {
         let until = Instant::now() + time;
         let mut all = self.lock();
         let known = all.entry(target.clone()).or_insert(until);
--- a/crates/azuresaddle-edge/src/targets/connections.rs
+++ b/crates/azuresaddle-edge/src/targets/connection_pool.rs
@@ -18,10 +18,10 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Time for which a connection is kept where the target does not say.
-const DEFAULT_KEEP: Duration = Duration::from_millis(800);
+const DEFAULT_KEEP_ALIVE: Duration = Duration::from_millis(800);
 
 /// Time kept before the end that the target says, so that its close does not cross a request.
-const KEEP_MARGIN: Duration = Duration::from_millis(500);
+const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(500);
 
 /// Part of a target's connections that the nodes together may use; the rest covers nodes that have
 /// not heard of each other.
@@ -48,32 +48,32 @@
 }
 
 /// Connections to all targets.
-pub(crate) struct Connections<N> {
+pub(crate) struct ConnectionPool<N> {
     net: N,
     spawner: Spawner,
-    targets: Arc<Mutex<HashMap<HostName, Kept>>>,
+    targets: Arc<Mutex<HashMap<HostName, TargetConnections>>>,
 }
 
 /// Connections to one target.
 #[derive(Default)]
-struct Kept {
-    idle: Vec<Idle>,
+struct TargetConnections {
+    idle: Vec<IdleConnection>,
     open: usize,
 }
 
-struct Idle {
+struct IdleConnection {
     tx: SendRequest<Full<Bytes>>,
     task: AbortHandle,
-    retire_at: Instant,
+    expires_at: Instant,
 }
 
-impl Drop for Idle {
+impl Drop for IdleConnection {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-impl<N: Network> Connections<N> {
+impl<N: Network> ConnectionPool<N> {
     pub(crate) fn new(net: N, spawner: Spawner) -> Self {
         Self {
             net,
@@ -98,9 +98,9 @@
         addr: SocketAddr,
         share: usize,
     ) -> Result<Connection, ConnectError> {
-        match self.take_idle(target, share)? {
-            Taken::Kept(connection) => Ok(*connection),
-            Taken::Slot(slot) => self.open(slot, addr).await,
+        match self.take_idle_or_slot(target, share)? {
+            Checkout::Idle(connection) => Ok(*connection),
+            Checkout::New(slot) => self.open(slot, addr).await,
         }
     }
 
@@ -118,7 +118,11 @@
         self.open(slot, addr).await
     }
 
-    async fn open(&self, slot: Slot, addr: SocketAddr) -> Result<Connection, ConnectError> {
+    async fn open(
+        &self,
+        slot: ConnectionSlot,
+        addr: SocketAddr,
+    ) -> Result<Connection, ConnectError> {
         let stream = tokio::time::timeout(CONNECT_TIMEOUT, self.net.connect(addr))
             .await
             .map_err(|_| ConnectError::Timeout)?
@@ -132,49 +136,51 @@
             let _ = conn.await;
         });
         Ok(Connection {
-            idle: Some(Idle {
+            idle: Some(IdleConnection {
                 tx,
                 task,
-                retire_at: Instant::now(),
+                expires_at: Instant::now(),
             }),
             slot,
         })
     }
 
-    fn take_idle(&self, target: &HostName, share: usize) -> Result<Taken, ConnectError> {
+    fn take_idle_or_slot(&self, target: &HostName, share: usize) -> Result<Checkout, ConnectError> {
         let now = Instant::now();
         let mut targets = lock(&self.targets);
-        let kept = targets.entry(target.clone()).or_default();
-        let before = kept.idle.len();
-        kept.idle.retain(|i| !i.tx.is_closed() && i.retire_at > now);
-        kept.open -= before - kept.idle.len();
+        let connections = targets.entry(target.clone()).or_default();
+        let before = connections.idle.len();
+        connections
+            .idle
+            .retain(|i| !i.tx.is_closed() && i.expires_at > now);
+        connections.open -= before - connections.idle.len();
         // The last one used is the least likely to be closed by now.
-        if let Some(at) = kept.idle.iter().rposition(|i| i.tx.is_ready()) {
-            return Ok(Taken::Kept(Box::new(Connection {
-                idle: Some(kept.idle.remove(at)),
+        if let Some(at) = connections.idle.iter().rposition(|i| i.tx.is_ready()) {
+            return Ok(Checkout::Idle(Box::new(Connection {
+                idle: Some(connections.idle.remove(at)),
                 slot: self.slot(target),
             })));
         }
-        self.take_slot(targets, target, share).map(Taken::Slot)
+        self.take_slot(targets, target, share).map(Checkout::New)
     }
 
     /// Counts one more connection to a target.
     fn take_slot(
         &self,
-        mut targets: MutexGuard<'_, HashMap<HostName, Kept>>,
+        mut targets: MutexGuard<'_, HashMap<HostName, TargetConnections>>,
         target: &HostName,
         share: usize,
-    ) -> Result<Slot, ConnectError> {
-        let kept = targets.entry(target.clone()).or_default();
-        if kept.open >= share {
+    ) -> Result<ConnectionSlot, ConnectError> {
+        let connections = targets.entry(target.clone()).or_default();
+        if connections.open >= share {
             return Err(ConnectError::Limit);
         }
-        kept.open += 1;
+        connections.open += 1;
         Ok(self.slot(target))
     }
 
-    fn slot(&self, target: &HostName) -> Slot {
-        Slot {
+    fn slot(&self, target: &HostName) -> ConnectionSlot {
+        ConnectionSlot {
             targets: Arc::clone(&self.targets),
             target: target.clone(),
         }
@@ -182,47 +188,47 @@
 
     /// Drops the idle connections to a target, where one of them has gone silent.
     pub(crate) fn drop_idle(&self, target: &HostName) {
-        if let Some(kept) = lock(&self.targets).get_mut(target) {
-            kept.open -= kept.idle.len();
-            kept.idle.clear();
+        if let Some(connections) = lock(&self.targets).get_mut(target) {
+            connections.open -= connections.idle.len();
+            connections.idle.clear();
         }
     }
 
     /// Forgets targets that `keep` does not name and that have no connection in use.
     pub(crate) fn retain(&self, keep: impl Fn(&HostName) -> bool) {
-        lock(&self.targets).retain(|target, kept| {
+        lock(&self.targets).retain(|target, connections| {
             if !keep(target) {
-                kept.open -= kept.idle.len();
-                kept.idle.clear();
+                connections.open -= connections.idle.len();
+                connections.idle.clear();
             }
-            keep(target) || kept.open > 0
+            keep(target) || connections.open > 0
         });
     }
 }
 
-enum Taken {
-    Kept(Box<Connection>),
-    Slot(Slot),
+enum Checkout {
+    Idle(Box<Connection>),
+    New(ConnectionSlot),
 }
 
 /// One of a target's connections in use; counted until it is dropped.
-struct Slot {
-    targets: Arc<Mutex<HashMap<HostName, Kept>>>,
+struct ConnectionSlot {
+    targets: Arc<Mutex<HashMap<HostName, TargetConnections>>>,
     target: HostName,
 }
 
-impl Drop for Slot {
+impl Drop for ConnectionSlot {
     fn drop(&mut self) {
-        if let Some(kept) = lock(&self.targets).get_mut(&self.target) {
-            kept.open = kept.open.saturating_sub(1);
+        if let Some(connections) = lock(&self.targets).get_mut(&self.target) {
+            connections.open = connections.open.saturating_sub(1);
         }
     }
 }
 
 /// A connection for one request; closed on drop unless it is given back.
 pub(crate) struct Connection {
-    idle: Option<Idle>,
-    slot: Slot,
+    idle: Option<IdleConnection>,
+    slot: ConnectionSlot,
 }
 
 impl Connection {
@@ -232,24 +238,26 @@
     }
 
     /// Keeps the connection for the next request, for the time that the target says.
-    pub(crate) fn give_back(mut self, keep_alive: Option<Duration>) {
+    pub(crate) fn return_to_pool(mut self, keep_alive: Option<Duration>) {
         let Some(mut idle) = self.idle.take() else {
             return;
         };
         let keep = match keep_alive {
-            Some(told) => told.saturating_sub(KEEP_MARGIN).max(told / 2),
-            None => DEFAULT_KEEP,
+            Some(told) => told.saturating_sub(KEEP_ALIVE_MARGIN).max(told / 2),
+            None => DEFAULT_KEEP_ALIVE,
         };
-        idle.retire_at = Instant::now() + keep;
+        idle.expires_at = Instant::now() + keep;
         let mut targets = lock(&self.slot.targets);
-        if let Some(kept) = targets.get_mut(&self.slot.target) {
-            kept.idle.push(idle);
+        if let Some(connections) = targets.get_mut(&self.slot.target) {
+            connections.idle.push(idle);
             // The slot's drop below takes one off.
-            kept.open += 1;
+            connections.open += 1;
         }
     }
 }
 
-fn lock(targets: &Mutex<HashMap<HostName, Kept>>) -> MutexGuard<'_, HashMap<HostName, Kept>> {
+fn lock(
+    targets: &Mutex<HashMap<HostName, TargetConnections>>,
+) -> MutexGuard<'_, HashMap<HostName, TargetConnections>> {
     targets.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/azuresaddle-edge/src/targets/health.rs
+++ b/crates/azuresaddle-edge/src/targets/health.rs
@@ -13,26 +13,26 @@
 use super::back_offs::BackOffs;
 
 /// Age at which a load that a target told says nothing any more.
-const LOAD_KEPT: Duration = Duration::from_millis(300);
+const MAX_LOAD_AGE: Duration = Duration::from_millis(300);
 
 /// Pause of a target that rejected a request; it may ask for a longer one.
-const REFUSED_PAUSE: Duration = Duration::from_millis(120);
+const REFUSAL_PAUSE: Duration = Duration::from_millis(120);
 
 /// Preference for a target in the node's own failure domain, in requests: it decides among equals.
-const SAME_DOMAIN: f64 = 0.5;
+const SAME_DOMAIN_BONUS: f64 = 0.5;
 
 /// Weight of one answer in a target's mean time.
-const TIME_WEIGHT: f64 = 0.2;
+const ANSWER_TIME_WEIGHT: f64 = 0.2;
 
 /// What this node has seen of its targets.
 #[derive(Default)]
 pub(crate) struct TargetHealth {
-    seen: Mutex<HashMap<HostName, Seen>>,
+    observations: Mutex<HashMap<HostName, Observations>>,
     back_offs: BackOffs,
 }
 
 #[derive(Default)]
-struct Seen {
+struct Observations {
     in_flight: u32,
     /// Requests that the target told, and when.
     load: Option<(u32, Instant)>,
@@ -41,9 +41,9 @@
     /// Until when the target's rate limit is used up.
     limited_until: Option<Instant>,
     /// Whether another server answers at its address.
-    is_gone: bool,
+    is_address_reused: bool,
     /// Mean time of its answers, in milliseconds.
-    mean_ms: Option<f64>,
+    mean_answer_ms: Option<f64>,
 }
 
 impl TargetHealth {
@@ -53,13 +53,13 @@
         targets: &[Arc<TargetEntry>],
         exclude: &[HostName],
         domain: &FailureDomain,
-    ) -> Option<(Arc<TargetEntry>, Busy)> {
+    ) -> Option<(Arc<TargetEntry>, InFlightGuard)> {
         let now = Instant::now();
-        let mut seen = self.lock();
+        let mut observations = self.lock();
         let usable = |t: &&Arc<TargetEntry>, open: bool| {
-            let state = seen.get(&t.id);
+            let state = observations.get(&t.id);
             !exclude.contains(&t.id)
-                && state.is_none_or(|s| s.may_be_used(now) && (!open || s.is_open(now)))
+                && state.is_none_or(|s| s.is_usable(now) && (!open || s.is_preferred(now)))
                 && self.back_offs.until(&t.id).is_none()
         };
         let mut candidates: Vec<&Arc<TargetEntry>> =
@@ -69,11 +69,11 @@
             candidates = targets.iter().filter(|t| usable(t, false)).collect();
         }
         let cost = |t: &TargetEntry| {
-            let state = seen.get(&t.id);
-            let busy = state.map_or(0.0, |s| s.expected(now));
-            let pace = state.and_then(|s| s.mean_ms).unwrap_or(1.0).max(1.0);
+            let state = observations.get(&t.id);
+            let busy = state.map_or(0.0, |s| s.expected_requests(now));
+            let pace = state.and_then(|s| s.mean_answer_ms).unwrap_or(1.0).max(1.0);
             let local = if t.domain == *domain {
-                SAME_DOMAIN
+                SAME_DOMAIN_BONUS
             } else {
                 0.0
             };
@@ -83,8 +83,8 @@
         let costs: Vec<f64> = candidates.iter().map(|t| cost(t)).collect();
         let best = (0..candidates.len()).min_by(|a, b| costs[*a].total_cmp(&costs[*b]))?;
         let target = Arc::clone(candidates[best]);
-        seen.entry(target.id.clone()).or_default().in_flight += 1;
-        let busy = Busy {
+        observations.entry(target.id.clone()).or_default().in_flight += 1;
+        let busy = InFlightGuard {
             health: Arc::clone(self),
             target: target.id.clone(),
         };
@@ -93,12 +93,14 @@
 
     /// Notes an answer and its time.
     pub(crate) fn on_answer(&self, target: &HostName, took: Duration) {
-        let mut seen = self.lock();
-        let state = seen.entry(target.clone()).or_default();
+        let mut observations = self.lock();
+        let state = observations.entry(target.clone()).or_default();
         state.breaker.on_success();
         let ms = took.as_secs_f64() * 1000.0;
-        let mean = state.mean_ms.map_or(ms, |m| m + (ms - m) * TIME_WEIGHT);
-        state.mean_ms = Some(mean);
+        let mean = state
+            .mean_answer_ms
+            .map_or(ms, |m| m + (ms - m) * ANSWER_TIME_WEIGHT);
+        state.mean_answer_ms = Some(mean);
     }
 
     /// Notes what a target told of its load.
@@ -109,14 +111,14 @@
 
     /// Notes a broken, silent or unreadable answer.
     pub(crate) fn on_failure(&self, target: &HostName) {
-        let mut seen = self.lock();
-        let state = seen.entry(target.clone()).or_default();
+        let mut observations = self.lock();
+        let state = observations.entry(target.clone()).or_default();
         state.breaker.on_failure(Instant::now());
     }
 
     /// Notes that a target turned a request away.
     pub(crate) fn on_refused(&self, target: &HostName) {
-        let until = Instant::now() + REFUSED_PAUSE;
+        let until = Instant::now() + REFUSAL_PAUSE;
         self.lock().entry(target.clone()).or_default().paused_until = Some(until);
     }
 
@@ -141,9 +143,9 @@
     /// Time until the first of these targets accepts a request, if all of them are rate-limited or in back-off.
     pub(crate) fn retry_in(&self, targets: &[Arc<TargetEntry>]) -> Option<Duration> {
         let now = Instant::now();
-        let seen = self.lock();
+        let observations = self.lock();
         let held_until = |t: &Arc<TargetEntry>| {
-            let limited = seen.get(&t.id).and_then(|s| s.limited_until(now));
+            let limited = observations.get(&t.id).and_then(|s| s.limited_until(now));
             limited.max(self.back_offs.until(&t.id))
         };
         let all: Option<Vec<Instant>> = targets.iter().map(held_until).collect();
@@ -151,13 +153,16 @@
     }
 
     /// Notes that another server answers at the target's address.
-    pub(crate) fn on_gone(&self, target: &HostName) {
-        self.lock().entry(target.clone()).or_default().is_gone = true;
+    pub(crate) fn on_address_reused(&self, target: &HostName) {
+        self.lock()
+            .entry(target.clone())
+            .or_default()
+            .is_address_reused = true;
     }
 
     /// Whether another server answers at the target's address.
-    pub(crate) fn is_gone(&self, target: &HostName) -> bool {
-        self.lock().get(target).is_some_and(|s| s.is_gone)
+    pub(crate) fn is_address_reused(&self, target: &HostName) -> bool {
+        self.lock().get(target).is_some_and(|s| s.is_address_reused)
     }
 
     /// Forgets what was seen of a target that has started again; requests to its earlier start still
@@ -181,12 +186,14 @@
         });
     }
 
-    fn lock(&self) -> MutexGuard<'_, HashMap<HostName, Seen>> {
-        self.seen.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, HashMap<HostName, Observations>> {
+        self.observations
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl Seen {
+impl Observations {
     fn forget(&mut self) {
         *self = Self {
             in_flight: self.in_flight,
@@ -195,8 +202,8 @@
     }
 
     /// Whether a request may be sent at all, also where no other target is left.
-    fn may_be_used(&self, now: Instant) -> bool {
-        !self.is_gone && self.limited_until(now).is_none()
+    fn is_usable(&self, now: Instant) -> bool {
+        !self.is_address_reused && self.limited_until(now).is_none()
     }
 
     /// Until when the target's rate limit is used up.
@@ -204,26 +211,26 @@
         self.limited_until.filter(|until| now < *until)
     }
 
-    fn is_open(&self, now: Instant) -> bool {
+    fn is_preferred(&self, now: Instant) -> bool {
         self.paused_until.is_none_or(|until| now >= until)
             && self.breaker.allows(now, self.in_flight as usize)
     }
 
     /// Requests that are expected before a new one.
-    fn expected(&self, now: Instant) -> f64 {
-        let told = self.load.filter(|(_, at)| now - *at < LOAD_KEPT);
+    fn expected_requests(&self, now: Instant) -> f64 {
+        let told = self.load.filter(|(_, at)| now - *at < MAX_LOAD_AGE);
         let told = told.map_or(0, |(requests, _)| requests);
         f64::from(told.max(self.in_flight))
     }
 }
 
 /// A request in flight to a target.
-pub(crate) struct Busy {
+pub(crate) struct InFlightGuard {
     health: Arc<TargetHealth>,
     target: HostName,
 }
 
-impl Drop for Busy {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         if let Some(state) = self.health.lock().get_mut(&self.target) {
             state.in_flight = state.in_flight.saturating_sub(1);
--- a/crates/azuresaddle-edge/src/targets/mod.rs
+++ b/crates/azuresaddle-edge/src/targets/mod.rs
@@ -1,10 +1,10 @@
 //! Connections to targets and what this node has seen of them itself.
 
 mod back_offs;
-mod connections;
+mod connection_pool;
 mod health;
 #[cfg(test)]
 mod tests;
 
-pub(crate) use connections::{ConnectError, Connection, Connections};
-pub(crate) use health::{Busy, TargetHealth};
+pub(crate) use connection_pool::{ConnectError, Connection, ConnectionPool};
+pub(crate) use health::{InFlightGuard, TargetHealth};
--- a/crates/azuresaddle-edge/src/targets/tests/back_offs.rs
+++ b/crates/azuresaddle-edge/src/targets/tests/back_offs.rs
@@ -11,10 +11,10 @@
 const PAUSE: Duration = Duration::from_secs(3);
 
 #[tokio::test(start_paused = true)]
-async fn nothing_is_sent_until_the_pause_ends_not_even_as_the_last_resort() {
+async fn a_target_in_back_off_gets_no_request_even_if_no_other_is_left() {
     let health = Arc::<TargetHealth>::default();
     let targets = [target("a"), target("b")];
-    health.back_offs().note(&targets[0].id, PAUSE);
+    health.back_offs().start(&targets[0].id, PAUSE);
     health.on_failure(&targets[1].id);
     health.on_failure(&targets[1].id);
     for _ in 0..20 {
@@ -32,11 +32,11 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_shorter_pause_does_not_end_a_longer_one() {
+async fn a_shorter_back_off_does_not_shorten_a_longer_one() {
     let health = TargetHealth::default();
     let id = target("a").id.clone();
-    health.back_offs().note(&id, PAUSE);
-    health.back_offs().note(&id, Duration::from_millis(100));
+    health.back_offs().start(&id, PAUSE);
+    health.back_offs().start(&id, Duration::from_millis(100));
     sleep(PAUSE / 2).await;
     assert_eq!(health.back_offs().active(), std::slice::from_ref(&id));
     sleep(PAUSE / 2).await;
@@ -44,19 +44,19 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn another_start_has_asked_for_nothing() {
+async fn a_restarted_target_is_not_in_back_off() {
     let health = TargetHealth::default();
     let id = target("a").id.clone();
-    health.back_offs().note(&id, Duration::from_secs(3600));
+    health.back_offs().start(&id, Duration::from_secs(3600));
     health.forget(&id);
     assert!(health.back_offs().until(&id).is_none());
 }
 
 #[tokio::test(start_paused = true)]
-async fn callers_are_told_when_the_first_target_takes_requests_again() {
+async fn retry_in_is_the_time_until_the_first_target_accepts_requests() {
     let health = TargetHealth::default();
     let targets = [target("a"), target("b")];
-    health.back_offs().note(&targets[0].id, PAUSE);
+    health.back_offs().start(&targets[0].id, PAUSE);
     assert_eq!(health.retry_in(&targets), None, "b takes requests");
     health.on_limited(&targets[1].id, PAUSE / 2);
     assert_eq!(health.retry_in(&targets), Some(PAUSE / 2));
--- a/crates/azuresaddle-edge/src/targets/tests/health.rs
+++ b/crates/azuresaddle-edge/src/targets/tests/health.rs
@@ -27,7 +27,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn nothing_is_held_against_a_target_that_has_started_again() {
+async fn failures_of_a_target_are_forgotten_when_it_restarts() {
     let health = Arc::<TargetHealth>::default();
     let targets = [target("a"), target("b")];
     let a = &targets[0].id;
@@ -36,24 +36,24 @@
         health.on_failure(a);
     }
     health.on_answer(a, Duration::from_millis(900));
-    health.on_gone(a);
+    health.on_address_reused(a);
     for _ in 0..20 {
         assert_eq!(picked(&health, &targets), targets[1].id);
     }
     health.forget(a);
-    assert!(!health.is_gone(a));
+    assert!(!health.is_address_reused(a));
     let times = (0..20).filter(|_| picked(&health, &targets) == *a).count();
     assert!(times > 0, "the new start gets its part");
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_left_while_a_request_ran_comes_back_unknown() {
+async fn a_target_that_is_removed_during_a_request_returns_without_history() {
     let health = Arc::<TargetHealth>::default();
     let targets = [target("a")];
     let (_, busy) = health.pick(&targets, &[], &"d1".into()).unwrap();
-    health.on_gone(&targets[0].id);
+    health.on_address_reused(&targets[0].id);
     health.retain(|_| false);
-    assert!(!health.is_gone(&targets[0].id));
+    assert!(!health.is_address_reused(&targets[0].id));
     drop(busy);
     assert_eq!(picked(&health, &targets), targets[0].id);
 }
