--- a/crates/azuresaddle-edge/src/placement/guard.rs
+++ b/crates/azuresaddle-edge/src/placement/guard.rs
@@ -26,7 +26,7 @@
     /// Notes the first event.
     pub(crate) fn on_first_event(&self) {
         if let Some(StreamState::Running { stream, .. }) = self.placement.lock().get_mut(&self.id) {
-            stream.is_writing = true;
+            stream.is_decoding = true;
             stream.first_event_in = Duration::ZERO;
         }
         self.placement
--- a/crates/azuresaddle-edge/src/quarantine/shared.rs
+++ b/crates/azuresaddle-edge/src/quarantine/shared.rs
@@ -86,7 +86,7 @@
             target: life,
         });
         let crash = self.update(request, |state, now| {
-            state.observe(now, request, target_hash(target), sent_at)
+            state.observe_crash(now, request, target_hash(target), sent_at)
         });
         if let Some(crash) = crash {
             self.send_to_control(CrashUpdate::Crash(crash));
@@ -100,7 +100,7 @@
 
     /// Whether an end of a target is known from before a send to it.
     pub(crate) fn has_ended_before(&self, target: &TargetEntry, sent_at: Instant) -> bool {
-        self.lock().has_ended_before(target_hash(target), sent_at)
+        self.lock().has_crashed_before(target_hash(target), sent_at)
     }
 
     /// Remembers a good end for a while, in case something will be held against the request.
@@ -145,7 +145,7 @@
     /// Ends a quarantine by an operator's word, given here or to another node; false where nothing was held against the
     /// request.
     pub(crate) fn end_quarantine(&self, request: Fingerprint) -> bool {
-        let was_known = self.update(request, |state, _| state.pardon(request));
+        let was_known = self.update(request, |state, _| state.lift(request));
         if was_known {
             tracing::warn!(part = "control", fingerprint = %request, "quarantine ended by an operator");
         }
@@ -171,7 +171,7 @@
         let mut state = self.lock();
         let before = state.status(now, request);
         let changed = change(&mut state, now);
-        let after = state.standing(now, request);
+        let after = state.status(now, request);
         self.known_requests.store(state.len(), Ordering::Relaxed);
         if before.is_quarantined() && !after.is_quarantined() {
             tracing::info!(part = "control", fingerprint = %request, "request cleared");
@@ -229,7 +229,7 @@
     /// Forgets what no longer matters.
     pub(crate) fn forget_old(&self) {
         let mut state = self.lock();
-        state.forget_old(Instant::now());
+        state.remove_expired(Instant::now());
         self.known_requests.store(state.len(), Ordering::Relaxed);
     }
 
