--- a/crates/azuresaddle-edge/src/peer/messages.rs
+++ b/crates/azuresaddle-edge/src/peer/messages.rs
@@ -11,80 +11,83 @@
 
 use crate::control::TargetUpdate;
 
-/// Asks the owner to place a stream. Times are relative, since clocks differ.
+/// Asks the owner to place a stream. Times are relative, since the nodes' clocks differ.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct PlaceMessage {
     pub(crate) id: PlacementId,
     pub(crate) service: String,
     pub(crate) account: ClientAccount,
+    /// Failure domain of the requesting node.
     pub(crate) domain: FailureDomain,
     pub(crate) prompt_tokens: u64,
     pub(crate) answer_tokens: u64,
     /// Time left until the first event is late.
     pub(crate) first_event_in: Duration,
+    /// Longest time between two events.
     pub(crate) pause: Duration,
-    /// Time left until the caller gives up if no event has come.
+    /// Time left until the caller gives up if it has received no event.
     pub(crate) give_up_in: Duration,
     /// Time left until the request must have ended.
     pub(crate) time_left: Duration,
+    /// Targets that must not be used, since an earlier attempt failed there.
     pub(crate) exclude: Vec<HostName>,
-    /// The request, where a target has ended while it had it.
+    /// Set if a target ended while it processed the request, which may be the cause.
     pub(crate) suspect: Option<Suspect>,
-    /// Whether another node named this one as the owner; it is then decided here, so that two nodes that
-    /// each take the other for the owner don't send it to and fro.
+    /// Whether another node redirected the request to this one. The receiver then decides in any case, so that two
+    /// nodes that each take the other for the owner don't redirect it forever.
     pub(crate) is_redirected: bool,
 }
 
-/// The owner's decision.
+/// The answer to a [`PlaceMessage`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum PlaceReply {
-    /// Send it now.
+    /// The stream may be sent to these engines now.
     Granted {
         lead: HostName,
         helpers: Vec<HostName>,
         helper_memory_tokens: u64,
         first_event_in: Duration,
     },
-    /// Not run, and never will be.
+    /// The stream was not run and will not be.
     Refused { retry_after: Duration },
-    /// The node does not know the service; ask again.
+    /// No decision was made, for example because the node does not know the service yet; try again.
     NoDecision,
-    /// Another node places streams; ask there.
+    /// Another node is the owner; send the request there.
     Redirect {
-        /// Where nodes call it.
+        /// Address of the owner for calls between nodes.
         peer: SocketAddr,
     },
 }
 
-/// Asks the owner whether a request may pass to a plain target that limits its rate.
+/// Asks the owner whether a request may be sent to a plain target that has a rate limit.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct PermitRequest {
     pub(crate) target: HostName,
-    /// The limit that the asking node knows, in case the owner has not heard of any.
+    /// The limit that the requesting node knows, in case the owner knows none.
     pub(crate) limit: RateLimit,
 }
 
-/// The owner's answer.
+/// The answer to a [`PermitRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum PermitReply {
-    /// One request may pass now.
+    /// One request may be sent now.
     Granted,
-    /// None may pass for that time.
+    /// No request may be sent for the time `wait`.
     Denied { wait: Duration },
-    /// Another node counts the requests.
+    /// The node does not count requests, since it is not the owner.
     NotOwner,
 }
 
 /// What happened to a stream.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum ReportKind {
-    /// Its first event came.
+    /// It sent its first event.
     FirstEvent,
     /// It ended.
     Ended(StreamOutcome),
 }
 
-/// News of a stream for the owner.
+/// Reports an event of a stream to the owner.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct StreamReport {
     pub(crate) id: PlacementId,
@@ -92,24 +95,24 @@
     pub(crate) kind: ReportKind,
 }
 
-/// All streams of a node, so that the owner's ledger matches.
+/// All streams of a node, from which the owner corrects its pools.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct SyncMessage {
     pub(crate) node: u64,
     /// Running streams by service.
     pub(crate) running: Vec<(String, RunningStream)>,
-    /// Asks without a decision.
-    pub(crate) waiting: Vec<PlacementId>,
-    /// Asks with a higher number began after this message was made.
+    /// Requests without a decision.
+    pub(crate) waiting: Vec<AskId>,
+    /// Highest request number when this message was made; later requests have higher numbers.
     pub(crate) up_to: u64,
 }
 
-/// What a node knows from the store.
+/// What a node knows from the store, as an answer to another node.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct PeerUpdate {
-    /// The configuration, where it is newer than the asking node's.
+    /// The configuration, if it is newer than the requesting node's.
     pub(crate) configuration: Option<Vec<u8>>,
     pub(crate) targets: Vec<TargetUpdate>,
-    /// Position of the latest change of targets that the node knows.
+    /// Store position of the latest change of targets that the node knows.
     pub(crate) position: StorePosition,
 }
--- a/crates/azuresaddle-edge/src/peer/server.rs
+++ b/crates/azuresaddle-edge/src/peer/server.rs
@@ -1,4 +1,4 @@
-//! Serves other nodes.
+//! Server for calls from other nodes.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,7 +18,7 @@
 use crate::placement::Owner;
 use crate::snapshot::Snapshots;
 
-/// Accepts other nodes until the spawner is killed.
+/// Accepts connections from other nodes until the spawner is killed.
 pub(crate) fn serve_peers<L>(
     listener: L,
     spawner: &Spawner,
@@ -55,7 +55,7 @@
 }
 
 impl PeerServer {
-    /// Where the owner is called, where it is another node.
+    /// Address of the owner; `None` if that is this node or unknown.
     fn other_owner(&self) -> Option<SocketAddr> {
         let snapshot = self.snapshots.load();
         let owner = snapshot.node(snapshot.owner)?;
@@ -65,8 +65,8 @@
 
 impl EdgePeer for PeerServer {
     async fn place(self, _: Context, message: PlaceMessage) -> PlaceReply {
-        // An owner that was replaced while it stalled would place without knowledge of the other's
-        // streams for as long as nodes ask it.
+        // An owner that was replaced while it stalled must not place any more: it would do so without knowing the streams
+        // that the new owner placed, for as long as nodes send it requests.
         match self.other_owner() {
             Some(peer) if !message.is_redirected => PlaceReply::Redirect { peer },
             _ => self.owner.place(message).await,
--- a/crates/azuresaddle-edge/src/peer/service.rs
+++ b/crates/azuresaddle-edge/src/peer/service.rs
@@ -1,4 +1,4 @@
-//! The service that every node offers to the others.
+//! RPC service that every node provides to the others.
 #![allow(missing_docs, reason = "tarpc generates items without documentation")]
 
 use azuresaddle_platform::StorePosition;
@@ -10,15 +10,15 @@
 /// Calls between nodes.
 #[tarpc::service]
 pub(crate) trait EdgePeer {
-    /// Asks for engines; answers when the stream may be sent, or is refused.
+    /// Requests engines for a stream. Answers when the stream may be sent or is refused.
     async fn place(message: PlaceMessage) -> PlaceReply;
-    /// Asks whether a request may pass to a target that limits its rate.
+    /// Asks whether a request may be sent to a plain target that has a rate limit.
     async fn permit(req: PermitRequest) -> PermitReply;
-    /// Reports what happened to streams.
+    /// Reports events of streams.
     async fn report(reports: Vec<StreamReport>);
-    /// Tells all streams of a node.
+    /// Sends the complete list of a node's streams.
     async fn sync(sync: SyncMessage);
-    /// What is known from the store, beyond a version of the configuration and a position of the
-    /// targets' changes; all of them for `None`.
+    /// Returns the configuration, if newer than the version `configuration`, and the changes of targets after the
+    /// position `targets`; all targets for `None`.
     async fn updates(configuration: u64, targets: Option<StorePosition>) -> PeerUpdate;
 }
--- a/crates/azuresaddle-edge/src/placement/client.rs
+++ b/crates/azuresaddle-edge/src/placement/client.rs
@@ -1,4 +1,4 @@
-//! Asks the owner where a stream may run.
+//! Requests engines for streams from the node that owns the pools.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -17,36 +17,43 @@
 use crate::peer::{PeerClients, PlaceMessage, PlaceReply, ReportKind, StreamReport, SyncMessage};
 use crate::snapshot::{NO_OWNER, Snapshots};
 
-/// Pause before an owner that did not answer is asked again.
+/// Delay before a request without a decision is repeated.
 const RETRY_PAUSE: Duration = Duration::from_millis(25);
 
-/// Time without an owner after which this node places alone, by what it knows of its own streams.
+/// Time without a decision after which this node places the stream itself. It then knows only its own
+/// streams.
 const LOCAL_PLACEMENT_DELAY: Duration = Duration::from_millis(200);
 
-/// Reports that wait to be sent.
+/// Most reports that wait to be sent.
 const REPORT_QUEUE_CAPACITY: usize = 4096;
 
-/// What is asked for.
+/// A stream that needs engines.
 #[derive(Clone, Debug)]
 pub(crate) struct PlaceRequest {
     pub(crate) service: Arc<str>,
     pub(crate) account: ClientAccount,
     pub(crate) prompt_tokens: u64,
     pub(crate) answer_tokens: u64,
+    /// When the first event is late.
     pub(crate) first_event_by: Instant,
+    /// Longest time between two events.
     pub(crate) pause: Duration,
-    /// When the caller gives up if no event has come.
+    /// When the caller gives up if it has received no event.
     pub(crate) give_up_at: Instant,
+    /// When the request must have ended.
     pub(crate) deadline: Instant,
+    /// Targets that must not be used, since an earlier attempt failed there.
     pub(crate) exclude: Vec<HostName>,
-    /// The request, where a target has ended while it had it.
+    /// Set if a target ended while it processed the request, which may be the cause.
     pub(crate) suspect: Option<Suspect>,
 }
 
-/// An ask or stream of this node.
+/// State of a stream that this node has requested engines for.
 #[derive(Debug)]
 pub(super) enum StreamState {
+    /// No decision yet.
     Waiting,
+    /// Engines are assigned.
     Running {
         service: Arc<str>,
         stream: RunningStream,
@@ -55,7 +62,7 @@
     },
 }
 
-/// What placement needs.
+/// Dependencies of [`PlacementClient`].
 pub(crate) struct PlacementClientParts<N> {
     /// Incarnation of this node.
     pub(crate) node: u64,
@@ -64,11 +71,11 @@
     pub(crate) owner: Arc<Owner>,
     pub(crate) peers: PeerClients<N>,
     pub(crate) snapshots: Snapshots,
-    /// Tells control of an owner that does not answer.
+    /// Reports the incarnation of an owner that does not answer to control.
     pub(crate) unresponsive_owners: mpsc::Sender<u64>,
 }
 
-/// Asks the owner, and keeps it informed.
+/// Requests engines from the owner, and reports the state of their streams to it.
 pub(crate) struct PlacementClient<N> {
     node: u64,
     domain: FailureDomain,
@@ -78,14 +85,14 @@
     next_number: AtomicU64,
     streams: Mutex<HashMap<PlacementId, StreamState>>,
     reports: mpsc::Sender<StreamReport>,
-    /// Grows when the connection to the owner was found dead, so that asks on it start anew.
+    /// Incremented when the connection to the owner is found dead, so that requests on it are repeated.
     reconnects: watch::Sender<u64>,
-    /// Tells control of an owner that does not answer.
+    /// Reports the incarnation of an owner that does not answer to control.
     unresponsive_owners: mpsc::Sender<u64>,
 }
 
 impl<N: Network> PlacementClient<N> {
-    /// Starts the reports to the owner.
+    /// Creates a client and starts the tasks that report to the owner.
     pub(crate) fn spawn(spawner: &Spawner, parts: PlacementClientParts<N>) -> Arc<Self> {
         let (reports, reports_rx) = mpsc::channel(REPORT_QUEUE_CAPACITY);
         let placement = Arc::new(Self {
@@ -105,10 +112,10 @@
         placement
     }
 
-    /// Waits for engines.
+    /// Waits until engines are assigned to a stream.
     ///
     /// # Errors
-    /// The time after which to come back, where the stream is refused; it did not run.
+    /// The time after which the caller may retry, if the stream is refused; it did not run.
     pub(crate) async fn place(
         self: &Arc<Self>,
         req: PlaceRequest,
@@ -119,7 +126,7 @@
             number,
         };
         self.lock().insert(id, StreamState::Waiting);
-        // From here on the guard forgets the ask when it is dropped.
+        // Created before the request is sent, so that its drop removes the entry also if this future is cancelled.
         let mut placed = PlacementGuard {
             placement: Arc::clone(self),
             id,
@@ -167,8 +174,9 @@
         }
     }
 
-    /// Asks whoever is the owner, anew after each change, until there is a decision.
-    async fn request_until_decided(&self, id: PlacementId, req: &PlaceRequest) -> PlaceReply {
+    /// Sends the request to the current owner, and again after each change of owner, until there is a decision or the
+    /// deadline has passed.
+    async fn request_until_decided(&self, id: AskId, req: &PlaceRequest) -> PlaceReply {
         let mut owner_changes = self.snapshots.subscribe_owner();
         let mut reconnects = self.reconnects.subscribe();
         let mut failing_since: Option<Instant> = None;
@@ -180,7 +188,7 @@
             let owner = *owner_changes.borrow_and_update();
             reconnects.mark_unchanged();
             if owner == NO_OWNER {
-                // The node has just started; soon it knows whom to ask.
+                // The node has just started; wait until an owner is known.
                 let left = req.deadline.saturating_duration_since(now);
                 let _ = tokio::time::timeout(left, owner_changes.changed()).await;
                 continue;
@@ -199,7 +207,7 @@
                             owner,
                             waited_ms = now.elapsed().as_millis() as u64,
                             answered = reply.is_some(),
-                            "owner gave no decision"
+                            "no decision from the owner; retrying"
                         );
                     }
                     let since = *failing_since.get_or_insert(now);
@@ -270,7 +278,7 @@
         reply.ok()
     }
 
-    /// All streams of this node.
+    /// The state of all streams of this node.
     pub(super) fn sync_message(&self) -> SyncMessage {
         let now = Instant::now();
         let streams = self.lock();
@@ -300,8 +308,8 @@
         }
     }
 
-    /// Tells the owner what happened to a stream.
-    pub(super) fn report(&self, id: PlacementId, service: &Arc<str>, kind: ReportKind) {
+    /// Queues a report to the owner about a stream.
+    pub(super) fn report(&self, id: AskId, service: &Arc<str>, kind: ReportKind) {
         let report = StreamReport {
             id,
             service: service.to_string(),
@@ -312,8 +320,11 @@
             return;
         }
         if self.reports.try_send(report).is_err() {
-            // The next sync tells the owner.
-            tracing::warn!(part = "placement", "report dropped, queue full");
+            // The owner learns of it from the next complete sync.
+            tracing::warn!(
+                part = "placement",
+                "report to the owner dropped: queue full"
+            );
         }
     }
 
@@ -333,15 +344,15 @@
         &self.snapshots
     }
 
-    /// Makes asks on the present connection to the owner start anew, and tells control of it.
+    /// Repeats the requests on the current connection to the owner, and reports the owner to control as unresponsive.
     pub(super) fn on_unresponsive_owner(&self, owner: u64) {
         self.reconnects.send_modify(|n| *n += 1);
         self.report_unresponsive(owner);
     }
 
-    /// Control passes over an owner that does not answer for a while.
+    /// Reports an owner that does not answer to control, which may choose another one.
     fn report_unresponsive(&self, owner: u64) {
-        // A full channel holds the same news already.
+        // A full channel already contains such reports.
         let _ = self.unresponsive_owners.try_send(owner);
     }
 
--- a/crates/azuresaddle-edge/src/placement/guard.rs
+++ b/crates/azuresaddle-edge/src/placement/guard.rs
@@ -1,4 +1,4 @@
-//! Engines that a stream holds.
+//! Guard of the engines that are assigned to a stream.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,21 +9,24 @@
 use super::client::{PlacementClient, StreamState};
 use crate::peer::ReportKind;
 
-/// Engines for a stream, held until it ends.
+/// Engines that are assigned to a stream; released when this is ended or dropped.
 pub(crate) struct PlacementGuard<N: Network> {
     pub(super) placement: Arc<PlacementClient<N>>,
     pub(super) id: PlacementId,
     pub(super) service: Arc<str>,
+    /// Engine that runs the stream.
     pub(crate) lead: HostName,
+    /// Engines that help the lead.
     pub(crate) helpers: Vec<HostName>,
     /// Memory to reserve on each helper, in tokens; 0 for none.
     pub(crate) helper_memory_tokens: u64,
+    /// Expected time from the decision to the first event.
     pub(crate) first_event_in: Duration,
     pub(super) is_ended: bool,
 }
 
 impl<N: Network> PlacementGuard<N> {
-    /// Notes the first event.
+    /// Records the first event and reports it to the owner.
     pub(crate) fn on_first_event(&self) {
         if let Some(StreamState::Running { stream, .. }) = self.placement.lock().get_mut(&self.id) {
             stream.is_decoding = true;
@@ -33,8 +36,8 @@
             .report(self.id, &self.service, ReportKind::FirstEvent);
     }
 
-    /// Gives the engines back.
-    pub(crate) fn end(mut self, outcome: StreamOutcome) {
+    /// Releases the engines and reports the outcome to the owner.
+    pub(crate) fn end(mut self, outcome: PassOutcome) {
         self.finish(outcome);
     }
 
@@ -47,7 +50,7 @@
             self.placement.lock().remove(&self.id),
             Some(StreamState::Running { .. })
         );
-        // A waiting ask is withdrawn by its dropped call.
+        // A request without a decision is withdrawn when its call is dropped.
         if was_running {
             self.placement
                 .report(self.id, &self.service, ReportKind::Ended(outcome));
--- a/crates/azuresaddle-edge/src/placement/mod.rs
+++ b/crates/azuresaddle-edge/src/placement/mod.rs
@@ -1,4 +1,4 @@
-//! Which engines run a stream: the owner of the pools decides, every node asks it.
+//! Placement of streams on engines. One node, the owner of the pools, decides; all nodes send their requests to it.
 
 mod client;
 mod guard;
--- a/crates/azuresaddle-edge/src/placement/owner.rs
+++ b/crates/azuresaddle-edge/src/placement/owner.rs
@@ -1,7 +1,7 @@
-//! The pools of engines at the node that places streams.
+//! The pools of engines, from which the owner places streams.
 //!
-//! Every node keeps the pools ready, so that it can take over at once. Nothing rests on there being
-//! one owner: engines refuse what they have no room for, and say so.
+//! Every node keeps the pools up to date, so that it can take over at once. Correctness does not depend on there being
+//! a single owner: an engine refuses a stream that it has no room for.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -19,19 +19,19 @@
 };
 use crate::snapshot::{Snapshot, Snapshots};
 
-/// The pools of this node.
+/// The pools as this node knows them. While this node is the owner, it places the streams of all nodes from them.
 pub(crate) struct Owner {
     state: Mutex<OwnerState>,
+    /// Wakes the timer task when its next wake-up may have changed.
     changed: Notify,
-    /// Engines that should be asked for their pace.
+    /// Engines whose pace should be queried.
     pace_questions: mpsc::Sender<HostName>,
 }
 
 impl Owner {
-    /// Starts to follow snapshots and the pools' own timers.
+    /// Creates the pools and starts the tasks that apply snapshots and run the pools' timers.
     ///
-    /// Engines that should be asked for their pace come out of `pace_questions`; the answers go
-    /// into [`Self::on_pace`].
+    /// Engines whose pace should be queried are sent to `pace_questions`; pass the answers to [`Self::on_pace`].
     pub(crate) fn spawn(
         spawner: &Spawner,
         snapshots: &Snapshots,
@@ -53,7 +53,7 @@
         owner
     }
 
-    /// Keeps the pools' engines as the snapshots have them.
+    /// Applies each new snapshot to the pools.
     async fn follow_snapshots(self: Arc<Self>, snapshots: Snapshots, node: u64) {
         let mut changes = snapshots.subscribe();
         loop {
@@ -80,7 +80,7 @@
         self.changed.notify_one();
     }
 
-    /// Dispatches when a pool's own time has come.
+    /// Dispatches whenever a timer of the pools expires.
     async fn run_timer(self: Arc<Self>) {
         loop {
             let next = self.lock().next_wakeup(Instant::now());
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Places a stream; withdrawn when the caller drops the future.
+    /// Places a stream. The request is withdrawn if the future is dropped.
     pub(crate) async fn place(&self, message: PlaceMessage) -> PlaceReply {
         let id = message.id;
         let Some(rx) = self.enqueue(message) else {
@@ -149,7 +149,7 @@
         Some(rx)
     }
 
-    /// Takes a token for a request of any node to a plain target that limits its rate.
+    /// Counts a request of any node against the rate limit of a plain target.
     pub(crate) fn permit(&self, req: &PermitRequest) -> PermitReply {
         let mut state = self.lock();
         if !state.is_owner {
@@ -161,7 +161,7 @@
         }
     }
 
-    /// Takes news of streams.
+    /// Applies reports about streams.
     pub(crate) fn report(&self, reports: Vec<StreamReport>) {
         let now = Instant::now();
         let mut state = self.lock();
@@ -182,19 +182,19 @@
 
     fn queue_pace_questions(&self, state: &mut OwnerState, now: Instant) {
         for engine in state.take_pace_questions(now) {
-            // A question that finds no room comes again with the next overdue event.
+            // If the queue is full, the pool asks for this engine again at the next overdue event.
             let _ = self.pace_questions.try_send(engine);
         }
     }
 
-    /// Takes an engine's own word of its pace, and of its start: while the store is away a restart is
-    /// learned of here first.
+    /// Applies the pace and the start that an engine reports. While the store is unavailable, this is where a restart is
+    /// noticed first.
     pub(crate) fn on_pace(&self, engine: &HostName, report: &EngineReport) {
         let now = Instant::now();
         let pace = report.pace;
         let started = report.started.0;
         let streams = report.streams;
-        tracing::info!(part = "placement", target = %engine, pace, streams, started, "pace told");
+        tracing::info!(part = "placement", target = %engine, pace, streams, started, "engine reported its pace");
         let mut state = self.lock();
         for pool in state.pools.values_mut() {
             if pool.note_start(now, engine, report.started) {
@@ -206,7 +206,7 @@
         self.changed.notify_one();
     }
 
-    /// Takes all streams of a node.
+    /// Replaces what the pools know of a node's streams by a complete list.
     pub(crate) fn sync(&self, sync: &SyncMessage) {
         let now = Instant::now();
         let mut state = self.lock();
@@ -243,7 +243,7 @@
     }
 }
 
-/// Withdraws an ask whose future is dropped before a decision.
+/// Withdraws a request whose future is dropped before a decision.
 struct WithdrawOnDrop<'a> {
     owner: &'a Owner,
     id: Option<PlacementId>,
--- a/crates/azuresaddle-edge/src/placement/owner_state.rs
+++ b/crates/azuresaddle-edge/src/placement/owner_state.rs
@@ -1,4 +1,4 @@
-//! The owner's pools, who waits for a decision, and the handover from another owner.
+//! State of the owner: its pools, the requests that wait for a decision, and the handover from another owner.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -15,54 +15,58 @@
 
 use crate::snapshot::{LiveNode, Snapshot, TargetSet};
 
-/// Longest time that a new owner waits for the nodes to tell their streams: many round trips, and
-/// half of the time that a short prompt can wait.
+/// Longest time that a new owner waits for the nodes to send their streams: many round trips, and half of
+/// the time that a short prompt can wait.
 const MAX_HANDOVER_WAIT: Duration = Duration::from_millis(120);
 
-/// Shortest time between two rounds of placement while asks wait: a tenth of a pass, so nobody's wait
-/// grows by more than that.
+/// Shortest time between two rounds of placement while requests wait: a tenth of a pass, so no request
+/// waits longer by more than that.
 const MIN_ROUND_INTERVAL: Duration = Duration::from_millis(4);
 
-/// What the owner keeps under its lock.
+/// State of [`Owner`](super::Owner), guarded by its lock.
 #[derive(Default)]
 pub(super) struct OwnerState {
-    /// What its pools do.
+    /// Options of new pools.
     pub(super) options: PassOptions,
     pub(super) pools: HashMap<Arc<str>, PassPool>,
-    pub(super) waiters: HashMap<PlacementId, oneshot::Sender<PlacementDecision>>,
+    /// Where to send the decisions about waiting requests.
+    pub(super) waiters: HashMap<AskId, oneshot::Sender<PassDecision>>,
+    /// Whether this node is the owner.
     pub(super) is_owner: bool,
+    /// Set while placement waits for the nodes to send their streams.
     pub(super) handover: Option<Handover>,
-    /// What the pools were brought up to last.
+    /// Configuration that was last applied to the pools.
     pub(super) configuration: Option<Arc<Configuration>>,
+    /// Targets that were last applied to the pools.
     pub(super) targets: Arc<TargetSet>,
     pub(super) nodes: Arc<Vec<LiveNode>>,
     pub(super) rate_limits: Arc<HashMap<HostName, RateLimit>>,
-    /// Token buckets of plain targets that limit their rate.
+    /// Token buckets of plain targets that have a rate limit.
     pub(super) plain_target_buckets: HashMap<HostName, RateBucket>,
-    /// When the next round may begin; `None` where no ask was left waiting by the last one.
+    /// When the next round may begin; `None` if the last one left no request waiting.
     pub(super) next_round: Option<Instant>,
-    /// Whether something happened since the last round.
+    /// Whether a round was postponed until `next_round`.
     pub(super) is_round_due: bool,
-    /// Rounds so far; tests bound their number.
+    /// Number of rounds so far, which tests check.
     pub(super) rounds: u64,
 }
 
-/// A new owner's wait for the nodes to tell their streams. Without it the first long prompt was
-/// read by all engines, since none seemed to run anything, and every short stream was late.
+/// The time in which a new owner waits for the nodes to send their streams. Without this wait all engines seemed
+/// idle, so the first long prompt was spread over all of them and every short stream was late.
 pub(super) struct Handover {
-    /// Nodes that have not told their streams.
+    /// Nodes that have not sent their streams yet.
     pub(super) unsynced: HashSet<u64>,
     pub(super) until: Instant,
 }
 
-/// Stands for nodes that a node which has just started has not heard of.
+/// Placeholder in [`Handover::unsynced`] for nodes that a node has not heard of yet since its start.
 const UNKNOWN_NODE: u64 = 0;
 
 impl Handover {
     fn new(now: Instant, snapshot: &Snapshot) -> Self {
         let nodes = snapshot.nodes.iter().map(|n| n.incarnation);
         let mut unsynced: HashSet<u64> = nodes.collect();
-        // Alone it may be one of many that start together; each would place on the same engines.
+        // A node that knows no other may be one of many that start together, which would all place on the same engines.
         if unsynced.len() == 1 {
             unsynced.insert(UNKNOWN_NODE);
         }
@@ -72,7 +76,7 @@
         }
     }
 
-    /// Waits for nodes that are heard of meanwhile, too.
+    /// Adds the nodes that are discovered during the handover.
     fn update_nodes(&mut self, snapshot: &Snapshot, before: &[LiveNode]) {
         if snapshot.nodes.len() > 1 {
             self.unsynced.remove(&UNKNOWN_NODE);
@@ -86,7 +90,7 @@
 }
 
 impl OwnerState {
-    /// Begins to wait for the other nodes where this one becomes the owner.
+    /// Applies the snapshot's owner. Starts a handover if this node becomes the owner.
     pub(super) fn update_ownership(&mut self, now: Instant, snapshot: &Snapshot, node: u64) {
         let is_owner = snapshot.owner == node;
         if is_owner && !self.is_owner {
@@ -110,7 +114,7 @@
         self.is_owner = is_owner;
     }
 
-    /// Brings the engines of all pools up to the targets; nearly every snapshot has the same ones.
+    /// Updates the engines of all pools. Returns early if nothing changed, as with nearly every snapshot.
     pub(super) fn update_targets(
         &mut self,
         now: Instant,
@@ -147,7 +151,7 @@
         self.targets = Arc::clone(targets);
     }
 
-    /// Notes whether this node places for all nodes. Counts of an earlier term are dropped.
+    /// Sets whether this node places for all nodes. Drops the rate counts of an earlier ownership.
     fn set_placing(&mut self, now: Instant, is_placing: bool) {
         self.plain_target_buckets.clear();
         for pool in self.pools.values_mut() {
@@ -155,7 +159,7 @@
         }
     }
 
-    /// Takes the rate limits of targets.
+    /// Applies the rate limits of targets.
     pub(super) fn update_rate_limits(
         &mut self,
         now: Instant,
@@ -172,17 +176,17 @@
             .retain(|id, _| limits.contains_key(id));
     }
 
-    /// Takes a token for a request to a plain target that limits its rate.
+    /// Takes a token from the bucket of a plain target that has a rate limit.
     ///
     /// # Errors
-    /// The time until the next one may pass.
+    /// The time until the next token is available.
     pub(super) fn take_permit(
         &mut self,
         now: Instant,
         target: &HostName,
         limit: RateLimit,
     ) -> Result<(), Duration> {
-        // The asking node may know of the limit before this one does.
+        // The requesting node may know of the limit before this one does.
         let limit = self.rate_limits.get(target).copied().unwrap_or(limit);
         let rate = self
             .plain_target_buckets
@@ -195,7 +199,7 @@
         Err(rate.next_token_in(now))
     }
 
-    /// Forgets streams of nodes that are gone.
+    /// Removes the streams of nodes that are no longer live.
     pub(super) fn update_nodes(&mut self, nodes: &Arc<Vec<LiveNode>>) {
         if Arc::ptr_eq(&self.nodes, nodes) {
             return;
@@ -207,13 +211,14 @@
         self.nodes = Arc::clone(nodes);
     }
 
+    /// Records that a node has sent its streams.
     pub(super) fn mark_synced(&mut self, node: u64) {
         if let Some(handover) = &mut self.handover {
             handover.unsynced.remove(&node);
         }
     }
 
-    /// Whether the ledger may lack streams of other nodes.
+    /// Whether a handover is in progress, in which the pools may lack streams of other nodes.
     pub(super) fn is_taking_over(&mut self, now: Instant) -> bool {
         let is_ongoing = self
             .handover
@@ -225,7 +230,7 @@
         is_ongoing
     }
 
-    /// Engines that should be asked for their pace; none where another node places.
+    /// Engines whose pace should be queried; none if another node is the owner.
     pub(super) fn take_pace_questions(&mut self, now: Instant) -> Vec<HostName> {
         if !self.is_owner {
             return Vec::new();
@@ -234,10 +239,10 @@
         pools.flat_map(|p| p.take_pace_probes(now)).collect()
     }
 
-    /// Places what can be placed and tells the askers.
+    /// Places waiting requests where there is room, and sends the decisions.
     ///
-    /// While asks wait, events are gathered into rounds. A round for each event would spend the owner's processor time on
-    /// asks that find no room, and let those wait that would.
+    /// While requests wait, events are collected into rounds. A round for each event would spend the owner's CPU time on
+    /// requests that find no room, and delay those that would.
     pub(super) fn dispatch(&mut self, now: Instant) {
         if self.is_taking_over(now) {
             return;
@@ -255,8 +260,8 @@
                     .remove(&id)
                     .is_some_and(|tx| tx.send(decision).is_ok());
                 if !is_delivered {
-                    // Whoever asked is gone, so nothing will run.
-                    pool.end(now, id, &StreamOutcome::Cancelled);
+                    // The requester is gone, so the stream will not run.
+                    pool.end(now, id, &PassOutcome::Cancelled);
                 }
             }
         }
@@ -265,7 +270,7 @@
         self.is_round_due = false;
     }
 
-    /// When [`Self::dispatch`] has to be called if nothing happens before.
+    /// When [`Self::dispatch`] must be called if no event occurs before.
     pub(super) fn next_wakeup(&self, now: Instant) -> Option<Instant> {
         if let Some(handover) = &self.handover {
             return Some(handover.until);
--- a/crates/azuresaddle-edge/src/placement/permits.rs
+++ b/crates/azuresaddle-edge/src/placement/permits.rs
@@ -1,4 +1,4 @@
-//! Permits to send to plain targets that limit their rate.
+//! Permits to send requests to plain targets that have a rate limit.
 
 use std::time::Duration;
 
@@ -7,22 +7,22 @@
 use super::client::PlacementClient;
 use crate::peer::{PermitReply, PermitRequest};
 
-/// Longest wait for the owner's answer: many round trips, and a part of the time that a plain request has.
+/// Longest wait for the owner's answer: many round trips, and a part of a plain request's time limit.
 const PERMIT_TIMEOUT: Duration = Duration::from_millis(60);
 
-/// Time for which a target is left alone where no owner answers.
+/// Time for which a rate-limited target is not used if no owner answers.
 const NO_OWNER_WAIT: Duration = Duration::from_millis(200);
 
 impl<N: Network> PlacementClient<N> {
-    /// Asks the node that counts the requests of all nodes whether one may pass.
+    /// Asks the owner, which counts the requests of all nodes, whether a request may be sent.
     ///
     /// # Errors
-    /// The time for which the target is to be left alone.
+    /// The time for which no request may be sent to the target.
     pub(crate) async fn permit(&self, req: PermitRequest) -> Result<(), Duration> {
         match self.request_permit(req).await {
             PermitReply::Granted => Ok(()),
             PermitReply::Denied { wait } => Err(wait),
-            // While the owner changes no node counts for all.
+            // While the owner changes, no node counts the requests of all nodes.
             PermitReply::NotOwner => Err(NO_OWNER_WAIT),
         }
     }
--- a/crates/azuresaddle-edge/src/placement/reporter.rs
+++ b/crates/azuresaddle-edge/src/placement/reporter.rs
@@ -1,4 +1,4 @@
-//! Sends reports to the owner, in batches.
+//! Sends reports and complete syncs of this node's streams to the owner.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,17 +15,17 @@
 /// Most reports in one message.
 const MAX_BATCH: usize = 256;
 
-/// Time that reports are gathered; a fraction of a pass.
+/// Time for which reports are collected into a batch; a fraction of a pass.
 const BATCH_DELAY: Duration = Duration::from_millis(3);
 
-/// Longest wait for the owner to take a message: a hundred times the usual way there and back, and the
-/// time to the first event of a short prompt. After it this node says that the owner is silent.
+/// Longest wait for the owner to accept a message: a hundred usual round trips, and the time to the first
+/// event of a short prompt. After it the owner is reported as unresponsive.
 const MESSAGE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Time between two complete listings to the owner; they also find a dead connection.
+/// Time between two complete syncs to the owner, which also detect a dead connection.
 const SYNC_INTERVAL: Duration = Duration::from_millis(700);
 
-/// Sends all streams at every change of owner and from time to time. It has a task of its own, so
+/// Sends all streams to the owner at every change of owner and at regular intervals. Runs in a separate task, so
 /// that a new owner does not wait while reports to the old one time out.
 pub(super) async fn run_sync<N: Network>(placement: Arc<PlacementClient<N>>) {
     let mut owner = placement.snapshots().subscribe_owner();
@@ -36,7 +36,7 @@
             _ = owner.changed() => {}
             _ = sync.tick() => {}
         }
-        // Anew where the owner changes while the last one does not answer.
+        // Starts again if the owner changes during the call.
         while is_interrupted_by_owner_change(&mut owner, send_sync(&placement)).await {}
     }
 }
@@ -51,7 +51,7 @@
     }
 }
 
-/// Sends reports, gathered for a moment.
+/// Sends reports to the owner in batches.
 pub(super) async fn run_reporter<N: Network>(
     placement: Arc<PlacementClient<N>>,
     mut reports: mpsc::Receiver<StreamReport>,
@@ -68,7 +68,7 @@
     }
 }
 
-/// Something for the owner.
+/// A message to the owner.
 #[derive(Clone)]
 enum Message {
     Sync(SyncMessage),
@@ -80,7 +80,7 @@
     send_to_owner(placement, message).await;
 }
 
-/// Gives a message to the owner. One that is lost is made up by the next listing.
+/// Sends a message to the owner. The next complete sync makes up for a lost one.
 async fn send_to_owner<N: Network>(placement: &PlacementClient<N>, message: Message) {
     if placement.is_owner() {
         match message {
@@ -94,12 +94,12 @@
     };
     let mut sent = send(placement, peer, &message).await;
     if sent == Err(RpcError::Broken) {
-        // A connection that was reset says nothing of the owner: a switch that reset two thousand of them
-        // made 100 nodes leave an owner that was well.
+        // A reset connection does not mean that the owner failed, so try again once: when a switch reset two thousand
+        // connections, 100 nodes abandoned a healthy owner.
         sent = send(placement, peer, &message).await;
     }
     if let Err(e) = sent {
-        tracing::info!(part = "placement", %peer, error = %e, "owner not reached");
+        tracing::info!(part = "placement", %peer, error = %e, "can't reach the owner");
         placement.on_unresponsive_owner(owner);
     }
 }
--- a/crates/azuresaddle-edge/src/placement/tests/handover.rs
+++ b/crates/azuresaddle-edge/src/placement/tests/handover.rs
@@ -1,4 +1,4 @@
-//! When a new owner begins to place.
+//! Tests of when a new owner begins to place streams.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 use crate::placement::owner_state::OwnerState;
 use crate::snapshot::{LiveNode, Snapshot, TargetSet};
 
-/// Long enough for every wait of a new owner.
+/// Longer than the longest handover.
 const LONG: Duration = Duration::from_secs(1);
 
 fn node(incarnation: u64) -> LiveNode {
@@ -58,7 +58,7 @@
     follow(&mut state, now, &[1]);
     state.mark_synced(1);
     follow(&mut state, now, &[1, 2]);
-    assert!(state.is_taking_over(now), "2 has not told its streams");
+    assert!(state.is_taking_over(now), "node 2 has not sent its streams");
     state.mark_synced(2);
     assert!(!state.is_taking_over(now));
 }
--- a/crates/azuresaddle-edge/src/placement/tests/permits.rs
+++ b/crates/azuresaddle-edge/src/placement/tests/permits.rs
@@ -1,4 +1,4 @@
-//! Requests to plain targets that limit their rate, counted for all nodes.
+//! Tests of rate limits of plain targets, which the owner counts for all nodes.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -10,7 +10,7 @@
 
 use crate::placement::owner_state::OwnerState;
 
-/// Span in which a limit is checked.
+/// Time span over which a rate limit is enforced.
 const SPAN: Duration = Duration::from_secs(4);
 
 fn limit(rate: f64) -> RateLimit {
@@ -21,7 +21,7 @@
     HostName::new("t")
 }
 
-/// Asks without pause; how many requests pass.
+/// Number of permits granted if one is requested every millisecond.
 fn passed(state: &mut OwnerState, from: Instant, length: Duration) -> usize {
     let moments = (0..length.as_millis() as u64).map(|ms| from + Duration::from_millis(ms));
     moments
@@ -59,6 +59,6 @@
     let total = passed(&mut state, now + SPAN, SPAN);
     assert!(
         total <= 5,
-        "{total}: what this node was told goes before what the asking node knows"
+        "{total}: the owner's limit takes precedence over the requesting node's"
     );
 }
--- a/crates/azuresaddle-edge/src/placement/tests/rounds.rs
+++ b/crates/azuresaddle-edge/src/placement/tests/rounds.rs
@@ -1,4 +1,4 @@
-//! How often the owner looks at asks that find no room.
+//! Tests of how often the owner tries to place requests that find no room.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -46,7 +46,7 @@
     }
 }
 
-/// A state with one engine of one slot.
+/// An owner with one engine that has one slot.
 fn state(now: Instant) -> OwnerState {
     let mut state = OwnerState::default();
     let mut pool = PassPool::new(PassOptions::default(), engine());
@@ -55,8 +55,8 @@
     state
 }
 
-/// An ask arrives; its decision comes out of the receiver.
-fn arrive(state: &mut OwnerState, now: Instant, number: u64) -> oneshot::Receiver<PlacementDecision> {
+/// Enqueues a request; the receiver gets its decision.
+fn arrive(state: &mut OwnerState, now: Instant, number: u64) -> oneshot::Receiver<PassDecision> {
     let ask = ask(now, number);
     let (tx, rx) = oneshot::channel();
     state.waiters.insert(ask.id, tx);
