--- a/crates/azuresaddle-edge/src/quarantine/mod.rs
+++ b/crates/azuresaddle-edge/src/quarantine/mod.rs
@@ -1,4 +1,4 @@
-//! Requests that crash their targets, as traffic and control share them.
+//! Requests that crash their targets; shared by traffic and control.
 
 mod quarantined_request;
 mod shared;
--- a/crates/azuresaddle-edge/src/quarantine/quarantined_request.rs
+++ b/crates/azuresaddle-edge/src/quarantine/quarantined_request.rs
@@ -1,15 +1,15 @@
-//! A request in quarantine, as operators see it.
+//! A quarantined request, as listed for operators.
 
 use azuresaddle_core::prelude::*;
 use serde::{Deserialize, Serialize};
 
-/// A request that is sent to no target.
+/// A request that is not sent to any target, since targets ended while they processed it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct QuarantinedRequest {
-    /// The request, as the logs name it.
+    /// Fingerprint of the request, as in the logs.
     pub fingerprint: Fingerprint,
-    /// Targets that ended while they had it.
+    /// Number of targets that ended while they processed it.
     pub targets_ended: usize,
-    /// Time until it may be tried again, in seconds.
+    /// Time until it may be sent again, in seconds.
     pub left_s: u64,
 }
--- a/crates/azuresaddle-edge/src/quarantine/shared.rs
+++ b/crates/azuresaddle-edge/src/quarantine/shared.rs
@@ -1,4 +1,4 @@
-//! The quarantine of this node.
+//! This node's quarantine, shared by traffic and control.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -17,22 +17,22 @@
 use super::update::CrashUpdate;
 use crate::metrics::Metrics;
 
-/// The quarantine of this node, asked by traffic and told to other nodes by control.
+/// This node's quarantine. Traffic checks requests against it; control shares it with the other nodes.
 pub(crate) struct SharedQuarantine {
     quarantine: Mutex<Quarantine>,
-    /// Good ends of requests of which nothing is known.
-    recent_good_ends: Mutex<RecentSuccessfulRuns>,
-    /// Requests that something is known of; with none of them nobody takes the lock.
+    /// Good ends of requests without known crashes.
+    recent_good_ends: Mutex<RecentGoodEnds>,
+    /// Number of requests in `quarantine`; if it is 0, checks do not take the lock.
     known_requests: AtomicUsize,
-    /// Grows with each request that goes into quarantine.
+    /// Incremented for each request that is quarantined.
     changes: watch::Sender<u64>,
-    /// What this node has seen itself, for control.
+    /// Sends what this node has observed itself to control.
     observed: mpsc::Sender<CrashUpdate>,
     metrics: Metrics,
 }
 
 impl SharedQuarantine {
-    /// An empty quarantine that tells control of all that this node sees itself.
+    /// Creates an empty quarantine that sends what this node observes to `observed`.
     pub(crate) fn new(observed: mpsc::Sender<CrashUpdate>, metrics: Metrics) -> Arc<Self> {
         Arc::new(Self {
             quarantine: Mutex::default(),
@@ -44,15 +44,15 @@
         })
     }
 
-    /// How a request stands.
-    pub(crate) fn standing(&self, request: Fingerprint) -> RequestStatus {
+    /// The present standing of a request.
+    pub(crate) fn standing(&self, request: Fingerprint) -> Standing {
         if self.known_requests.load(Ordering::Relaxed) == 0 {
             return RequestStatus::Clear;
         }
         self.lock().status(Instant::now(), request)
     }
 
-    /// The request as a suspect, where a target has ended while it had it.
+    /// The request as a suspect, if a target ended while it processed it; `None` if the request is clear.
     pub(crate) fn suspect(&self, request: Fingerprint) -> Option<Suspect> {
         if self.known_requests.load(Ordering::Relaxed) == 0 {
             return None;
@@ -65,7 +65,7 @@
         })
     }
 
-    /// Waits until a request is in quarantine; for ever where it never is.
+    /// Waits until a request is quarantined. Never returns if that does not happen.
     pub(crate) async fn until_quarantined(&self, request: Fingerprint) {
         let mut changes = self.changes.subscribe();
         while !self.standing(request).is_quarantined() {
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Notes that this node saw a target end under a send of a request that began at `sent_at`.
+    /// Records that a target ended while it processed a request that this node sent at `sent_at`.
     pub(crate) fn on_crash(&self, request: Fingerprint, target: &TargetEntry, sent_at: Instant) {
         let life = TargetIncarnation {
             target: target_hash(target),
@@ -93,30 +93,30 @@
         }
     }
 
-    /// Whether something is known of a request.
+    /// Whether the quarantine has a record of a request.
     pub(crate) fn knows(&self, request: Fingerprint) -> bool {
         self.known_requests.load(Ordering::Relaxed) > 0 && self.lock().knows(request)
     }
 
-    /// Whether an end of a target is known from before a send to it.
+    /// Whether a target is known to have ended before a request was sent to it.
     pub(crate) fn has_ended_before(&self, target: &TargetEntry, sent_at: Instant) -> bool {
         self.lock().has_crashed_before(target_hash(target), sent_at)
     }
 
-    /// Remembers a good end for a while, in case something will be held against the request.
+    /// Keeps a good end for a while, in case a crash is reported for the request.
     pub(crate) fn remember_good_end(&self, end: SuccessfulRun, target: &TargetEntry) {
         self.lock_recent()
             .note(Instant::now(), end, target_hash(target));
     }
 
-    /// Notes that this node saw a run of a request come to a good end which its target survived.
+    /// Records that a run of a request ended well and its target survived, as observed by this node.
     pub(crate) fn on_good_end(&self, end: SuccessfulRun) {
         if self.learn_good_end(end) {
             self.send_to_control(CrashUpdate::GoodEnd(end));
         }
     }
 
-    /// Counts what this node has seen for a request against which something is held now.
+    /// Counts the remembered good ends of a request that a crash is now known of.
     fn count_remembered_good_ends(&self, crash: Crash) {
         let state = self.lock();
         let has_ended = |target| target == crash.target.target || state.knows_crash_of(target);
@@ -129,21 +129,19 @@
         }
     }
 
-    /// Takes a crash that another node has seen.
+    /// Applies a crash that another node observed.
     pub(crate) fn learn_crash(&self, crash: Crash) -> CrashStatus {
         self.count_remembered_good_ends(crash);
         self.update(crash.fingerprint, |state, now| state.on_crash(now, crash))
     }
 
-    /// Takes a good end, seen here or by another node; true where it was not known.
+    /// Applies a good end that this or another node observed. Returns whether it is new.
     pub(crate) fn learn_good_end(&self, end: SuccessfulRun) -> bool {
-        self.update(end.fingerprint, |state, now| {
-            state.on_successful_run(now, end)
-        })
+        self.update(end.fingerprint, |state, now| state.on_good_end(now, end))
     }
 
-    /// Ends a quarantine by an operator's word, given here or to another node; false where nothing was held against the
-    /// request.
+    /// Ends a request's quarantine by order of an operator, which this or another node received. Returns `false` if
+    /// there was no record of the request.
     pub(crate) fn end_quarantine(&self, request: Fingerprint) -> bool {
         let was_known = self.update(request, |state, _| state.lift(request));
         if was_known {
@@ -152,7 +150,8 @@
         was_known
     }
 
-    /// Ends a quarantine by an operator's word, and tells the other nodes.
+    /// Ends a request's quarantine by order of an operator on all nodes. Returns `false` if there was no record of the
+    /// request.
     pub(crate) fn end_quarantine_everywhere(&self, request: Fingerprint) -> bool {
         let was_known = self.end_quarantine(request);
         if was_known {
@@ -161,7 +160,7 @@
         was_known
     }
 
-    /// Changes what is known of a request, and tells where that brings it into quarantine.
+    /// Changes the record of a request. Logs and counts if that puts it into quarantine.
     fn update<T>(
         &self,
         request: Fingerprint,
@@ -174,7 +173,7 @@
         let after = state.status(now, request);
         self.known_requests.store(state.len(), Ordering::Relaxed);
         if before.is_quarantined() && !after.is_quarantined() {
-            tracing::info!(part = "control", fingerprint = %request, "request cleared");
+            tracing::info!(part = "control", fingerprint = %request, "request no longer in quarantine");
         }
         if after.is_quarantined() && !before.is_quarantined() {
             let crashes = state.crashes_of(request).len();
@@ -190,22 +189,22 @@
         self.changes.send_modify(|n| *n += 1);
     }
 
-    /// Crashes of one request.
+    /// Known crashes of one request.
     pub(crate) fn crashes_of(&self, request: Fingerprint) -> Vec<Crash> {
         self.lock().crashes_of(request)
     }
 
-    /// Good ends of one request.
+    /// Known good ends of one request.
     pub(crate) fn good_ends_of(&self, request: Fingerprint) -> Vec<SuccessfulRun> {
-        self.lock().successful_runs_of(request)
+        self.lock().good_ends_of(request)
     }
 
-    /// Crashes of all requests in quarantine.
+    /// Known crashes of all quarantined requests.
     pub(crate) fn quarantined(&self) -> Vec<Crash> {
         self.lock().quarantined(Instant::now()).collect()
     }
 
-    /// All requests in quarantine, for operators.
+    /// All quarantined requests, for operators.
     pub(crate) fn list(&self) -> Vec<QuarantinedRequest> {
         let now = Instant::now();
         let state = self.lock();
@@ -226,7 +225,7 @@
         listed.collect()
     }
 
-    /// Forgets what no longer matters.
+    /// Removes expired records.
     pub(crate) fn forget_old(&self) {
         let mut state = self.lock();
         state.remove_expired(Instant::now());
@@ -235,7 +234,11 @@
 
     fn send_to_control(&self, update: CrashUpdate) {
         if self.observed.try_send(update).is_err() {
-            tracing::warn!(part = "forward", ?update, "crash not told, queue full");
+            tracing::warn!(
+                part = "forward",
+                ?update,
+                "quarantine update dropped: queue full"
+            );
         }
     }
 
@@ -252,7 +255,7 @@
     }
 }
 
-/// Names a target's start the same way on all nodes.
+/// Identifies one start of a target; the same on all nodes.
 fn target_hash(target: &TargetEntry) -> u64 {
     let text = format!("{}/{}", target.id, target.started.0);
     xxhash_rust::xxh3::xxh3_64(text.as_bytes())
--- a/crates/azuresaddle-edge/src/quarantine/update.rs
+++ b/crates/azuresaddle-edge/src/quarantine/update.rs
@@ -1,16 +1,16 @@
-//! What nodes tell each other of requests that crash their targets.
+//! Messages between nodes about requests that crash their targets.
 
 use azuresaddle_core::prelude::*;
 use azuresaddle_sched::quarantine::{Crash, SuccessfulRun};
 use serde::{Deserialize, Serialize};
 
-/// Something that is held against a request, or settles it.
+/// Evidence for or against a request's quarantine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum CrashUpdate {
-    /// A target ended while it had the request.
+    /// A target ended while it processed the request.
     Crash(Crash),
-    /// A run of the request came to a good end which its target survived.
-    GoodEnd(SuccessfulRun),
-    /// An operator has ended the quarantine of the request.
+    /// A run of the request ended well, and its target survived.
+    SuccessfulRun(SuccessfulRun),
+    /// An operator ended the request's quarantine.
     Pardon(Fingerprint),
 }
--- a/crates/azuresaddle-edge/src/targets/back_offs.rs
+++ b/crates/azuresaddle-edge/src/targets/back_offs.rs
@@ -7,14 +7,15 @@
 use azuresaddle_core::prelude::*;
 use tokio::time::Instant;
 
-/// Until when this node backs off from targets. Each node keeps its own: a target may reject one failure domain only.
+/// When this node's back-offs from targets end. They are not shared with other nodes, since a target may reject a
+/// single failure domain.
 #[derive(Default)]
 pub(crate) struct BackOffs {
     until: Mutex<HashMap<HostName, Instant>>,
 }
 
 impl BackOffs {
-    /// Notes a back-off; a shorter one does not cut a longer one short.
+    /// Starts a back-off of at least `time` from now. Does not shorten a longer one.
     pub(crate) fn start(&self, target: &HostName, time: Duration) {
         let until = Instant::now() + time;
         let mut all = self.lock();
@@ -22,7 +23,7 @@
         *known = until.max(*known);
     }
 
-    /// End of a target's back-off; `None` if there is none.
+    /// When a target's back-off ends; `None` if there is none.
     pub(crate) fn until(&self, target: &HostName) -> Option<Instant> {
         let now = Instant::now();
         let until = self.lock().get(target).copied();
@@ -37,7 +38,7 @@
         all.keys().cloned().collect()
     }
 
-    /// Forgets the targets that `keep` does not name.
+    /// Removes the targets for which `keep` returns `false`.
     pub(crate) fn retain(&self, keep: impl Fn(&HostName) -> bool) {
         self.lock().retain(|target, _| keep(target));
     }
--- a/crates/azuresaddle-edge/src/targets/connection_pool.rs
+++ b/crates/azuresaddle-edge/src/targets/connection_pool.rs
@@ -1,4 +1,4 @@
-//! Connections to targets, kept for the next request.
+//! Pool of connections to targets.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -14,40 +14,41 @@
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-/// Longest wait for a connection: many times a round trip and the time that targets take for one.
+/// Longest wait for a connection: many times a round trip and the time that a target takes to accept.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Time for which a connection is kept where the target does not say.
+/// Time for which an idle connection is kept if the target announces no keep-alive time.
 const DEFAULT_KEEP_ALIVE: Duration = Duration::from_millis(800);
 
-/// Time kept before the end that the target says, so that its close does not cross a request.
+/// Time before the end of the announced keep-alive time at which a connection is no longer used, so that a request
+/// does not meet the target's close.
 const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(500);
 
-/// Part of a target's connections that the nodes together may use; the rest covers nodes that have
-/// not heard of each other.
+/// Part of a target's connections that all nodes together may use. The rest is a reserve for nodes that
+/// don't know of each other yet.
 const CONNECTION_SHARE: f64 = 0.8;
 
-/// Fewest connections to a target that a node may have.
+/// Connections to a target that each node may open, however small its share is.
 const MIN_CONNECTIONS: usize = 2;
 
-/// No connection to a target; nothing was sent.
+/// No connection to a target is available. Nothing was sent.
 #[derive(Debug, Error)]
 pub(crate) enum ConnectError {
     /// The node's share of the target's connections is in use.
     #[error("all connections to the target are in use")]
     Limit,
-    /// The target does not accept.
+    /// The target did not accept the connection.
     #[error("connect failed: {0}")]
     Refused(#[source] std::io::Error),
-    /// The target does not answer.
+    /// The target did not answer within the connect timeout.
     #[error("connect timed out")]
     Timeout,
-    /// The connection broke at once.
+    /// The connection broke during the HTTP handshake.
     #[error("connection broke: {0}")]
     Broken(#[source] hyper::Error),
 }
 
-/// Connections to all targets.
+/// Connections to all targets, within this node's share of each target's limit.
 pub(crate) struct ConnectionPool<N> {
     net: N,
     spawner: Spawner,
@@ -58,6 +59,7 @@
 #[derive(Default)]
 struct TargetConnections {
     idle: Vec<IdleConnection>,
+    /// Connections that are open, idle ones included.
     open: usize,
 }
 
@@ -88,10 +90,10 @@
         (share as usize).max(MIN_CONNECTIONS)
     }
 
-    /// A kept or new connection.
+    /// Returns an idle connection or opens a new one.
     ///
     /// # Errors
-    /// Where there is none; nothing was sent.
+    /// If there is none; nothing was sent.
     pub(crate) async fn checkout(
         &self,
         target: &HostName,
@@ -104,7 +106,7 @@
         }
     }
 
-    /// A new connection, whatever is kept.
+    /// Opens a new connection, even if there are idle ones.
     ///
     /// # Errors
     /// As [`Self::checkout`].
@@ -132,7 +134,7 @@
             .await
             .map_err(ConnectError::Broken)?;
         let task = self.spawner.spawn_abortable(async move {
-            // A broken connection shows up at the sender and the body.
+            // The sender and the body report a broken connection.
             let _ = conn.await;
         });
         Ok(Connection {
@@ -154,7 +156,7 @@
             .idle
             .retain(|i| !i.tx.is_closed() && i.expires_at > now);
         connections.open -= before - connections.idle.len();
-        // The last one used is the least likely to be closed by now.
+        // The most recently used connection is the least likely to have been closed.
         if let Some(at) = connections.idle.iter().rposition(|i| i.tx.is_ready()) {
             return Ok(Checkout::Idle(Box::new(Connection {
                 idle: Some(connections.idle.remove(at)),
@@ -186,7 +188,7 @@
         }
     }
 
-    /// Drops the idle connections to a target, where one of them has gone silent.
+    /// Closes the idle connections to a target. Used when one of them stopped answering.
     pub(crate) fn drop_idle(&self, target: &HostName) {
         if let Some(connections) = lock(&self.targets).get_mut(target) {
             connections.open -= connections.idle.len();
@@ -194,7 +196,8 @@
         }
     }
 
-    /// Forgets targets that `keep` does not name and that have no connection in use.
+    /// Closes the idle connections to targets for which `keep` returns `false`, and removes those that have no connection
+    /// in use.
     pub(crate) fn retain(&self, keep: impl Fn(&HostName) -> bool) {
         lock(&self.targets).retain(|target, connections| {
             if !keep(target) {
@@ -206,12 +209,13 @@
     }
 }
 
+/// An idle connection, or the slot for a new one.
 enum Checkout {
     Idle(Box<Connection>),
     New(ConnectionSlot),
 }
 
-/// One of a target's connections in use; counted until it is dropped.
+/// Counts one connection against a target's share until it is dropped.
 struct ConnectionSlot {
     targets: Arc<Mutex<HashMap<HostName, TargetConnections>>>,
     target: HostName,
@@ -225,7 +229,7 @@
     }
 }
 
-/// A connection for one request; closed on drop unless it is given back.
+/// A connection for one request; closed on drop unless it is returned to the pool.
 pub(crate) struct Connection {
     idle: Option<IdleConnection>,
     slot: ConnectionSlot,
@@ -234,10 +238,14 @@
 impl Connection {
     /// The sender of the request.
     pub(crate) fn sender(&mut self) -> &mut SendRequest<Full<Bytes>> {
-        &mut self.idle.as_mut().expect("held until it is given back").tx
+        &mut self
+            .idle
+            .as_mut()
+            .expect("present until returned to the pool")
+            .tx
     }
 
-    /// Keeps the connection for the next request, for the time that the target says.
+    /// Returns the connection to the pool, for the keep-alive time that the target announced.
     pub(crate) fn return_to_pool(mut self, keep_alive: Option<Duration>) {
         let Some(mut idle) = self.idle.take() else {
             return;
@@ -250,7 +258,7 @@
         let mut targets = lock(&self.slot.targets);
         if let Some(connections) = targets.get_mut(&self.slot.target) {
             connections.idle.push(idle);
-            // The slot's drop below takes one off.
+            // Dropping the slot below subtracts one.
             connections.open += 1;
         }
     }
--- a/crates/azuresaddle-edge/src/targets/health.rs
+++ b/crates/azuresaddle-edge/src/targets/health.rs
@@ -1,4 +1,4 @@
-//! What this node has seen of plain targets: load, failures, addresses that belong to others.
+//! Health of plain targets as this node observes it: load, failures, and addresses that another server took over.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -12,37 +12,41 @@
 
 use super::back_offs::BackOffs;
 
-/// Age at which a load that a target told says nothing any more.
+/// Age after which a load that a target reported is no longer used.
 const MAX_LOAD_AGE: Duration = Duration::from_millis(300);
 
-/// Pause of a target that rejected a request; it may ask for a longer one.
+/// Time for which a target that refused a request is avoided; it may request a longer back-off.
 const REFUSAL_PAUSE: Duration = Duration::from_millis(120);
 
-/// Preference for a target in the node's own failure domain, in requests: it decides among equals.
+/// Preference for a target in the node's own failure domain, in requests; small enough to decide only between targets of
+/// equal load.
 const SAME_DOMAIN_BONUS: f64 = 0.5;
 
-/// Weight of one answer in a target's mean time.
+/// Weight of the latest answer in the moving average of a target's answer time.
 const ANSWER_TIME_WEIGHT: f64 = 0.2;
 
-/// What this node has seen of its targets.
+/// Load and failures of targets, as this node observed them.
 #[derive(Default)]
 pub(crate) struct TargetHealth {
     observations: Mutex<HashMap<HostName, Observations>>,
     back_offs: BackOffs,
 }
 
+/// What this node observed of one target.
 #[derive(Default)]
 struct Observations {
+    /// Requests of this node.
     in_flight: u32,
-    /// Requests that the target told, and when.
+    /// Number of requests that the target reported, and when.
     load: Option<(u32, Instant)>,
     breaker: Breaker,
+    /// Until when the target is avoided, since it refused a request.
     paused_until: Option<Instant>,
     /// Until when the target's rate limit is used up.
     limited_until: Option<Instant>,
     /// Whether another server answers at its address.
     is_address_reused: bool,
-    /// Mean time of its answers, in milliseconds.
+    /// Moving average of its answer time, in milliseconds.
     mean_answer_ms: Option<f64>,
 }
 
@@ -65,7 +69,7 @@
         let mut candidates: Vec<&Arc<TargetEntry>> =
             targets.iter().filter(|t| usable(t, true)).collect();
         if candidates.is_empty() {
-            // A suspected target is better than none.
+            // A target that failed or refused recently is better than none.
             candidates = targets.iter().filter(|t| usable(t, false)).collect();
         }
         let cost = |t: &TargetEntry| {
@@ -77,7 +81,7 @@
             } else {
                 0.0
             };
-            // The random part spreads nodes that see the same.
+            // The random part keeps nodes with the same observations from choosing the same target.
             (busy + 1.0 - local + rand::rng().random_range(0.0..0.2)) * pace
         };
         let costs: Vec<f64> = candidates.iter().map(|t| cost(t)).collect();
@@ -91,7 +95,7 @@
         Some((target, busy))
     }
 
-    /// Notes an answer and its time.
+    /// Records an answer and the time that it took.
     pub(crate) fn on_answer(&self, target: &HostName, took: Duration) {
         let mut observations = self.lock();
         let state = observations.entry(target.clone()).or_default();
@@ -103,32 +107,32 @@
         state.mean_answer_ms = Some(mean);
     }
 
-    /// Notes what a target told of its load.
+    /// Records the number of requests that a target reports to have.
     pub(crate) fn on_load(&self, target: &HostName, requests: u32) {
         let load = Some((requests, Instant::now()));
         self.lock().entry(target.clone()).or_default().load = load;
     }
 
-    /// Notes a broken, silent or unreadable answer.
+    /// Records a missing, broken or unreadable answer.
     pub(crate) fn on_failure(&self, target: &HostName) {
         let mut observations = self.lock();
         let state = observations.entry(target.clone()).or_default();
         state.breaker.on_failure(Instant::now());
     }
 
-    /// Notes that a target turned a request away.
+    /// Records that a target refused a request.
     pub(crate) fn on_refused(&self, target: &HostName) {
         let until = Instant::now() + REFUSAL_PAUSE;
         self.lock().entry(target.clone()).or_default().paused_until = Some(until);
     }
 
-    /// Notes that a target's rate limit is used up for a while.
+    /// Records that a target's rate limit is used up for the time `wait`.
     pub(crate) fn on_limited(&self, target: &HostName, wait: Duration) {
         let until = Instant::now() + wait;
         self.lock().entry(target.clone()).or_default().limited_until = Some(until);
     }
 
-    /// Forgets which rate limits are used up, since the limits have changed.
+    /// Clears which rate limits are used up. Called when the limits change.
     pub(crate) fn forget_limits(&self) {
         for state in self.lock().values_mut() {
             state.limited_until = None;
@@ -152,7 +156,7 @@
         all?.into_iter().min().map(|until| until - now)
     }
 
-    /// Notes that another server answers at the target's address.
+    /// Records that another server answers at the target's address.
     pub(crate) fn on_address_reused(&self, target: &HostName) {
         self.lock()
             .entry(target.clone())
@@ -165,8 +169,7 @@
         self.lock().get(target).is_some_and(|s| s.is_address_reused)
     }
 
-    /// Forgets what was seen of a target that has started again; requests to its earlier start still
-    /// count until they end.
+    /// Clears the observations of a target that has restarted. Requests to its earlier start count until they end.
     pub(crate) fn forget(&self, target: &HostName) {
         if let Some(state) = self.lock().get_mut(target) {
             state.forget();
@@ -174,7 +177,7 @@
         self.back_offs.retain(|t| t != target);
     }
 
-    /// Forgets targets that `keep` does not name and that nothing is in flight to.
+    /// Clears the observations of targets for which `keep` returns `false`, and removes those without requests in flight.
     pub(crate) fn retain(&self, keep: impl Fn(&HostName) -> bool) {
         self.back_offs.retain(&keep);
         self.lock().retain(|target, s| {
@@ -201,7 +204,7 @@
         };
     }
 
-    /// Whether a request may be sent at all, also where no other target is left.
+    /// Whether a request may be sent if no other target is left.
     fn is_usable(&self, now: Instant) -> bool {
         !self.is_address_reused && self.limited_until(now).is_none()
     }
@@ -211,12 +214,13 @@
         self.limited_until.filter(|until| now < *until)
     }
 
+    /// Whether a request may be sent while there are other targets.
     fn is_preferred(&self, now: Instant) -> bool {
         self.paused_until.is_none_or(|until| now >= until)
             && self.breaker.allows(now, self.in_flight as usize)
     }
 
-    /// Requests that are expected before a new one.
+    /// Number of requests that the target is expected to have.
     fn expected_requests(&self, now: Instant) -> f64 {
         let told = self.load.filter(|(_, at)| now - *at < MAX_LOAD_AGE);
         let told = told.map_or(0, |(requests, _)| requests);
@@ -224,7 +228,7 @@
     }
 }
 
-/// A request in flight to a target.
+/// Counts a request in flight to a target until it is dropped.
 pub(crate) struct InFlightGuard {
     health: Arc<TargetHealth>,
     target: HostName,
--- a/crates/azuresaddle-edge/src/targets/mod.rs
+++ b/crates/azuresaddle-edge/src/targets/mod.rs
@@ -1,4 +1,4 @@
-//! Connections to targets and what this node has seen of them itself.
+//! Connections to targets, and their health as this node observes it.
 
 mod back_offs;
 mod connection_pool;
--- a/crates/azuresaddle-edge/src/targets/tests/back_offs.rs
+++ b/crates/azuresaddle-edge/src/targets/tests/back_offs.rs
@@ -1,4 +1,4 @@
-//! Targets that have asked this node for a pause.
+//! Tests of targets that have asked this node to back off.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,7 +21,7 @@
         assert_eq!(
             picked(&health, &targets),
             targets[1].id,
-            "a suspected one is better"
+            "a failing target is better than one in back-off"
         );
     }
     assert!(health.pick(&targets[..1], &[], &"d1".into()).is_none());
--- a/crates/azuresaddle-edge/src/targets/tests/health.rs
+++ b/crates/azuresaddle-edge/src/targets/tests/health.rs
@@ -1,4 +1,4 @@
-//! Which target a plain request goes to.
+//! Tests of the choice of a target for a plain request.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,7 +23,7 @@
 
 pub(super) fn picked(health: &Arc<TargetHealth>, targets: &[Arc<TargetEntry>]) -> HostName {
     let picked = health.pick(targets, &[], &"d1".into());
-    picked.expect("one is usable").0.id.clone()
+    picked.expect("a target is usable").0.id.clone()
 }
 
 #[tokio::test(start_paused = true)]
@@ -43,7 +43,7 @@
     health.forget(a);
     assert!(!health.is_address_reused(a));
     let times = (0..20).filter(|_| picked(&health, &targets) == *a).count();
-    assert!(times > 0, "the new start gets its part");
+    assert!(times > 0, "the restarted target gets requests");
 }
 
 #[tokio::test(start_paused = true)]
--- a/crates/azuresaddle-edge/src/targets/tests/mod.rs
+++ b/crates/azuresaddle-edge/src/targets/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of what a node has seen of its targets.
+//! Tests of the health of targets.
 
 mod back_offs;
 mod health;
