--- a/crates/azuresaddle-edge/src/directory.rs
+++ b/crates/azuresaddle-edge/src/directory.rs
@@ -1,4 +1,4 @@
-//! Answers callers' questions for addresses and the platform's readiness checks.
+//! HTTP endpoints for callers that look up addresses of nodes, and for the platform's readiness checks.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,20 +12,20 @@
 
 use crate::snapshot::{Snapshot, Snapshots};
 
-/// Time to live of an answer: callers leave a stopped node within it, and ask once in that time.
+/// Time to live of an answer: callers stop using a stopped node within it, and repeat the lookup once in that time.
 const ADDRESS_TTL: Duration = Duration::from_secs(3);
 
 /// Most addresses in an answer.
 const MAX_ADDRESSES: usize = 64;
 
-/// Answers from the latest snapshot.
+/// Serves the addresses of the nodes and this node's readiness from the latest snapshot.
 pub(crate) struct Directory {
     snapshots: Snapshots,
     ttl: Duration,
 }
 
 impl Directory {
-    /// Answers with a time to live of at most `max_ttl`.
+    /// Creates a directory whose answers have a time to live of at most `max_ttl`.
     pub(crate) fn new(snapshots: Snapshots, max_ttl: Duration) -> Arc<Self> {
         Arc::new(Self {
             snapshots,
@@ -60,7 +60,7 @@
     }
 }
 
-/// Whether this node should get callers.
+/// Whether this node should receive callers.
 fn is_ready(snapshot: &Snapshot) -> bool {
     snapshot.configuration.is_some() && !snapshot.is_leaving
 }
--- a/crates/azuresaddle-edge/src/lib.rs
+++ b/crates/azuresaddle-edge/src/lib.rs
@@ -1,8 +1,9 @@
-//! The node on the platform: takes callers' requests and relays them to targets that register
+//! The node on the platform: accepts requests from callers and forwards them to targets that register
 //! themselves.
 //!
-//! Control (one thread) knows the configuration, the targets and the other nodes, and publishes a
-//! [`snapshot`]. Traffic (another thread) forwards requests by it and never waits for control.
+//! Control runs on one thread: it keeps track of the configuration, the targets and the other nodes, and publishes
+//! them in a [`snapshot`]. Traffic runs on another thread: it forwards requests according to the latest snapshot and
+//! never waits for control.
 
 mod control;
 mod directory;
--- a/crates/azuresaddle-edge/src/metrics.rs
+++ b/crates/azuresaddle-edge/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and latency histograms, in the text format that scrapers read.
+//! Metrics of a node, in the OpenMetrics text format.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
@@ -19,7 +19,7 @@
     0.01, 0.025, 0.05, 0.1, 0.15, 0.2, 0.3, 0.5, 0.8, 1.5, 3.0, 5.0, 10.0, 15.0,
 ];
 
-/// Labels of answers.
+/// Labels of answers to callers.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(crate) struct AnswerLabels {
     service: String,
@@ -33,7 +33,7 @@
     result: &'static str,
 }
 
-/// Labels of a service.
+/// Label of metrics that are counted by service.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(crate) struct ServiceLabels {
     service: String,
@@ -45,14 +45,14 @@
     signal: &'static str,
 }
 
-/// Labels of sends that were held back.
+/// Labels of sends that were held back by a rate limit or a back-off.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct HeldLabels {
     service: String,
     reason: &'static str,
 }
 
-/// Labels of fetches from other nodes.
+/// Labels of fetches of targets from other nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct FetchLabels {
     scope: &'static str,
@@ -192,13 +192,13 @@
         self.sends.get_or_create(&labels).inc();
     }
 
-    /// Counts a fetch of all targets, or of changes, from another node.
+    /// Counts a fetch from another node: of all targets if `is_full`, else of changes.
     pub(crate) fn on_fetch(&self, is_full: bool) {
         let scope = if is_full { "all" } else { "changes" };
         self.fetches.get_or_create(&FetchLabels { scope }).inc();
     }
 
-    /// Counts a request under which a target has ended.
+    /// Counts a request whose target ended while it processed the request.
     pub(crate) fn on_target_crash(&self, service: &str) {
         let labels = ServiceLabels {
             service: service.to_owned(),
@@ -206,7 +206,7 @@
         self.target_crashes.get_or_create(&labels).inc();
     }
 
-    /// Counts a request that was not sent on since it is in quarantine.
+    /// Counts a request that was not forwarded because it is in quarantine.
     pub(crate) fn on_quarantine_refusal(&self, service: &str) {
         let labels = ServiceLabels {
             service: service.to_owned(),
@@ -214,7 +214,7 @@
         self.quarantine_refusals.get_or_create(&labels).inc();
     }
 
-    /// Counts a send that was held back.
+    /// Counts a send that was held back by a target's rate limit or back-off.
     pub(crate) fn on_held_back(&self, service: &str, reason: &'static str) {
         let labels = HeldLabels {
             service: service.to_owned(),
@@ -229,17 +229,17 @@
         self.target_signals.get_or_create(&labels).inc();
     }
 
-    /// Notes the time to a first event.
+    /// Records the time from a request's arrival to its first event.
     pub(crate) fn on_first_event(&self, service: &str, took: Duration) {
         observe(&self.first_event, service, took);
     }
 
-    /// Notes the time that a request waited for engines.
+    /// Records the time that a request waited for engines.
     pub(crate) fn on_placed(&self, service: &str, waited: Duration) {
         observe(&self.placement_wait, service, waited);
     }
 
-    /// All of them, in the text format.
+    /// All metrics in the text format.
     pub(crate) fn text(&self) -> String {
         let mut text = String::new();
         // Writing to a string does not fail.
--- a/crates/azuresaddle-edge/src/node.rs
+++ b/crates/azuresaddle-edge/src/node.rs
@@ -1,4 +1,4 @@
-//! The node: starts everything, and stops it gracefully.
+//! The node: starts all its parts, and stops them gracefully.
 
 use std::io;
 use std::net::SocketAddr;
@@ -29,50 +29,50 @@
 use crate::quarantine::SharedQuarantine;
 use crate::snapshot::{LiveNode, NO_OWNER, Snapshot, Snapshots, TargetSet};
 
-/// Part of the grace of a stop after which new requests are refused: callers have had their time to
-/// live to learn of other addresses.
+/// Part of the grace period of a stop after which new requests are refused. By then the time to live of the
+/// addresses has passed, so callers have looked up other nodes.
 const REFUSE_AFTER_SHARE: f64 = 0.34;
 
-/// Time kept of the grace for the process to end.
+/// Part of the grace period that is reserved for the exit of the process.
 const EXIT_MARGIN: Duration = Duration::from_millis(500);
 
-/// News of silent nodes that wait for control; it needs one at a time.
+/// Most reports of unresponsive owners that wait for control, which needs only one at a time.
 const UNRESPONSIVE_OWNER_QUEUE_CAPACITY: usize = 8;
 
-/// Crashes under this node's requests that wait for control: those of a dozen full targets.
+/// Most quarantine updates that wait for control: the crashes of a dozen targets with all their slots in use.
 const CRASH_QUEUE_CAPACITY: usize = 256;
 
-/// Signals of targets that wait for control: those of a few hundred answers.
+/// Most signals of targets that wait for control: those of a few hundred answers.
 const SIGNAL_QUEUE_CAPACITY: usize = 256;
 
-/// Engines that wait to be asked for their pace; a pool that suspects more of them asks again.
+/// Most engines that wait for a query of their pace. A pool that suspects more of them asks again later.
 const PACE_QUESTION_QUEUE_CAPACITY: usize = 64;
 
-/// Time between two looks whether all answers are finished.
+/// Interval at which a stopping node checks whether all answers are finished.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The node can't be opened.
+/// The node can't be started.
 #[derive(Debug, Error)]
 pub enum OpenError {
     /// An address can't be bound.
     #[error("can't listen on {what} {addr}: {source}")]
     Bind {
-        /// What listens there.
+        /// What would listen there.
         what: &'static str,
         /// The address.
         addr: SocketAddr,
-        /// Why not.
+        /// The cause.
         #[source]
         source: io::Error,
     },
 }
 
-/// What a node is told beside the platform's settings.
+/// Options of a node beyond the platform's settings.
 #[derive(Clone, Debug, Default)]
 pub struct NodeOptions {
-    /// Port of the metrics; `None` serves none.
+    /// Port on which to serve metrics and other endpoints for operators; `None` to serve none.
     pub metrics_port: Option<u16>,
-    /// Mechanisms of placement that are switched off.
+    /// Placement mechanisms that are disabled.
     pub without: Vec<Mechanism>,
 }
 
@@ -86,10 +86,10 @@
 }
 
 impl Node {
-    /// Binds all addresses and starts to serve; control runs on its own runtime.
+    /// Binds all addresses and starts to serve. Control runs on the runtime `control`.
     ///
     /// # Errors
-    /// Where an address can't be bound.
+    /// If an address can't be bound, except that of the metrics.
     pub async fn open<N: Network>(
         settings: NodeSettings,
         options: NodeOptions,
@@ -190,8 +190,8 @@
         })
     }
 
-    /// Stops gracefully: leaves the addresses that callers are told, then refuses new requests, and
-    /// returns when every answer is finished or the grace is nearly over.
+    /// Stops gracefully: removes this node from the addresses that callers are given, later refuses new requests, and
+    /// returns when every answer is finished or the grace period is nearly over.
     pub async fn stop(&self) {
         let started = Instant::now();
         tracing::info!(
@@ -204,8 +204,8 @@
         tokio::time::sleep_until(started + self.grace.mul_f64(REFUSE_AFTER_SHARE)).await;
         self.stopping.advance();
         let end = started + self.grace - EXIT_MARGIN;
-        // Callers that were told this address before may still come for a moment, and get a refusal
-        // rather than a closed port.
+        // Callers that looked up this address earlier may still connect for a moment. They get a refusal rather than a
+        // closed port.
         tokio::time::sleep(DRAIN_POLL_INTERVAL * 4).await;
         while self.in_flight.count() > 0 && Instant::now() < end {
             tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
@@ -240,7 +240,7 @@
     }
 }
 
-/// Serves the metrics; a node without them still serves callers.
+/// Serves the endpoints for operators. A failure is only logged, since the node can serve callers without them.
 async fn serve_metrics<N: Network>(
     net: &N,
     spawner: &Spawner,
@@ -256,11 +256,11 @@
                 endpoints,
             );
         }
-        Err(e) => tracing::warn!(part = "node", error = %e, "no metrics"),
+        Err(e) => tracing::warn!(part = "node", error = %e, "can't serve metrics"),
     }
 }
 
-/// Opens the socket for heartbeats on the runtime that reads it.
+/// Binds the socket for heartbeats on the runtime that reads it.
 async fn bind_heartbeat_socket(
     settings: &NodeSettings,
     control: &Handle,
@@ -286,7 +286,7 @@
         .map_err(|source| OpenError::Bind { what, addr, source })
 }
 
-/// Unix time, in milliseconds; orders nodes by their start and is never compared to a clock.
+/// Current Unix time in milliseconds. Used to order nodes by their start, and never compared to a clock.
 fn unix_ms() -> u64 {
     let now = std::time::SystemTime::now();
     let since = now
--- a/crates/azuresaddle-edge/src/operator_endpoints.rs
+++ b/crates/azuresaddle-edge/src/operator_endpoints.rs
@@ -1,4 +1,4 @@
-//! What a node tells operators over HTTP, and the one thing that they tell it.
+//! HTTP endpoints for operators: metrics, service-level counts, and the quarantine, which they can end for a request.
 
 use std::sync::Arc;
 
@@ -21,13 +21,14 @@
 /// Path of the service-level counts, as JSON for `azuresaddle burn`.
 pub const BURN_PATH: &str = "/burn";
 
-/// Path of the requests in quarantine, as JSON for `azuresaddle quarantine`; one of them below it.
+/// Path of the list of quarantined requests, as JSON for `azuresaddle quarantine`. A `DELETE` of a fingerprint below it
+/// ends the quarantine of that request.
 pub const QUARANTINE_PATH: &str = "/quarantine";
 
-/// Content type of the text format.
+/// Content type of the metrics.
 const TEXT_FORMAT: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// Content type of everything else.
+/// Content type of the other endpoints.
 const JSON_FORMAT: &str = "application/json";
 
 /// Serves the metrics, the service-level counts and the quarantine.
--- a/crates/azuresaddle-edge/src/signals.rs
+++ b/crates/azuresaddle-edge/src/signals.rs
@@ -1,4 +1,5 @@
-//! Messages about the targets' signals, between traffic, control and other nodes.
+//! Messages between traffic, control and other nodes about signals, the response headers in which targets announce rate
+//! limits, draining and back-offs.
 
 use std::time::Duration;
 
@@ -11,7 +12,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct ObservedSignals {
     pub(crate) target: HostName,
-    /// The start of the target that was asked.
+    /// The start of the target that sent the answer.
     pub(crate) started: TargetStart,
     /// When the request was sent; signals announced before that may have changed since.
     pub(crate) sent_at: Instant,
@@ -25,7 +26,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct SignalUpdate {
     pub(crate) target: HostName,
-    /// The start of the target that it is about.
+    /// The start of the target that sent the signals.
     pub(crate) started: TargetStart,
     pub(crate) is_draining: bool,
     pub(crate) rate_limit: Option<RateLimit>,
--- a/crates/azuresaddle-edge/src/snapshot.rs
+++ b/crates/azuresaddle-edge/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! What control publishes to traffic.
+//! Snapshots of the configuration, the targets and the nodes, which control publishes to traffic.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -12,22 +12,22 @@
 
 use crate::control::TargetRecord;
 
-/// Stands for the owner where none is known yet; no process has this incarnation.
+/// Value of [`Snapshot::owner`] if no owner is known yet; no process has this incarnation.
 pub(crate) const NO_OWNER: u64 = 0;
 
 /// A node that answers heartbeats.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct LiveNode {
     pub(crate) incarnation: u64,
-    /// Where callers connect.
+    /// Address for callers.
     pub(crate) callers_addr: SocketAddr,
-    /// Where nodes call it.
+    /// Address for calls between nodes.
     pub(crate) peer_addr: SocketAddr,
-    /// Whether callers may be sent there.
+    /// Whether callers may be given its address.
     pub(crate) takes_callers: bool,
 }
 
-/// Targets by service; those that take no new work are left out.
+/// Targets that accept new work, by service and by name.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct TargetSet {
     by_service: HashMap<Arc<str>, Vec<Arc<TargetEntry>>>,
@@ -62,7 +62,7 @@
         known.is_some_and(|k| k.started > target.started)
     }
 
-    /// Targets that are here and in an earlier set, and have started again since.
+    /// Targets of an earlier set that have restarted since.
     pub(crate) fn restarted_since(&self, before: &Self) -> Vec<HostName> {
         let all = before.by_id.values();
         let restarted = all.filter(|t| self.has_restarted(t));
@@ -74,23 +74,23 @@
     }
 }
 
-/// What control believes, at one moment.
+/// State of the platform as control knows it at one moment.
 #[derive(Clone, Debug)]
 pub(crate) struct Snapshot {
     /// The configuration in force; `None` until one is known.
     pub(crate) configuration: Option<Arc<Configuration>>,
-    /// The configuration as the operator wrote it, for other nodes.
+    /// The configuration in its original form, for other nodes.
     pub(crate) raw_configuration: Option<Arc<Vec<u8>>>,
     pub(crate) targets: Arc<TargetSet>,
     /// Rate limits of targets, shared by all nodes.
     pub(crate) rate_limits: Arc<HashMap<HostName, RateLimit>>,
-    /// All that is known of targets, for other nodes.
+    /// All records of targets, for other nodes.
     pub(crate) target_records: Arc<Vec<Arc<TargetRecord>>>,
-    /// Position of the latest change of targets that is known.
+    /// Store position of the latest known change of targets.
     pub(crate) target_position: StorePosition,
-    /// Live nodes, this one among them.
+    /// Live nodes, including this one.
     pub(crate) nodes: Arc<Vec<LiveNode>>,
-    /// Incarnation of the node that places streams; [`NO_OWNER`] for none.
+    /// Incarnation of the owner, the node that places streams; [`NO_OWNER`] if unknown.
     pub(crate) owner: u64,
     /// Whether this node is stopping.
     pub(crate) is_leaving: bool,
@@ -102,7 +102,7 @@
     }
 }
 
-/// The latest snapshot and news of a new one; cheap to clone.
+/// The latest snapshot, with notification of changes; cheap to clone.
 #[derive(Clone, Debug)]
 pub(crate) struct Snapshots {
     latest: Arc<ArcSwap<Snapshot>>,
@@ -135,12 +135,12 @@
         });
     }
 
-    /// Tells of every new snapshot.
+    /// Notifies of every new snapshot.
     pub(crate) fn subscribe(&self) -> watch::Receiver<u64> {
         self.version.subscribe()
     }
 
-    /// Tells which node places streams.
+    /// Notifies of changes of the owner; the value is its incarnation.
     pub(crate) fn subscribe_owner(&self) -> watch::Receiver<u64> {
         self.owner.subscribe()
     }
