--- a/crates/azuresaddle-edge/src/placement/client.rs
+++ b/crates/azuresaddle-edge/src/placement/client.rs
@@ -127,7 +127,7 @@
         };
         self.lock().insert(id, StreamState::Waiting);
         // Created before the request is sent, so that its drop removes the entry also if this future is cancelled.
-        let mut placed = PlacementGuard {
+        let mut guard = PlacementGuard {
             placement: Arc::clone(self),
             id,
             service: Arc::clone(&req.service),
@@ -163,11 +163,11 @@
                     first_event_at: Instant::now() + first_event_in,
                 };
                 self.lock().insert(id, running);
-                placed.lead = lead;
-                placed.helpers = helpers;
-                placed.helper_memory_tokens = helper_memory_tokens;
-                placed.first_event_in = first_event_in;
-                Ok(placed)
+                guard.lead = lead;
+                guard.helpers = helpers;
+                guard.helper_memory_tokens = helper_memory_tokens;
+                guard.first_event_in = first_event_in;
+                Ok(guard)
             }
             PlaceReply::Refused { retry_after } => Err(retry_after),
             PlaceReply::NoDecision | PlaceReply::Redirect { .. } => Err(RETRY_PAUSE),
@@ -193,9 +193,9 @@
                 let _ = tokio::time::timeout(left, owner_changes.changed()).await;
                 continue;
             }
-            let is_local = failing_since.is_some_and(|at| now - at >= LOCAL_PLACEMENT_DELAY);
+            let place_locally = failing_since.is_some_and(|at| now - at >= LOCAL_PLACEMENT_DELAY);
             let reply = tokio::select! {
-                reply = self.request_once(owner, id, req, is_local) => reply,
+                reply = self.request_once(owner, id, req, place_locally) => reply,
                 _ = owner_changes.changed() => continue,
                 _ = reconnects.changed() => continue,
             };
@@ -226,7 +226,7 @@
         owner: u64,
         id: PlacementId,
         req: &PlaceRequest,
-        is_local: bool,
+        place_locally: bool,
     ) -> Option<PlaceReply> {
         let now = Instant::now();
         let message = PlaceMessage {
@@ -244,8 +244,8 @@
             suspect: req.suspect,
             is_redirected: false,
         };
-        if owner == self.node || is_local {
-            if is_local {
+        if owner == self.node || place_locally {
+            if place_locally {
                 self.owner.sync(&self.sync_message());
             }
             return Some(self.owner.place(message).await);
--- a/crates/azuresaddle-edge/src/placement/tests/permits.rs
+++ b/crates/azuresaddle-edge/src/placement/tests/permits.rs
@@ -22,7 +22,7 @@
 }
 
 /// Number of permits granted if one is requested every millisecond.
-fn passed(state: &mut OwnerState, from: Instant, length: Duration) -> usize {
+fn count_granted(state: &mut OwnerState, from: Instant, length: Duration) -> usize {
     let moments = (0..length.as_millis() as u64).map(|ms| from + Duration::from_millis(ms));
     moments
         .filter(|now| state.take_permit(*now, &target(), limit(1.9)).is_ok())
@@ -33,7 +33,7 @@
 async fn the_limit_holds_for_requests_of_all_nodes_together() {
     let now = Instant::now();
     let mut state = OwnerState::default();
-    let total = passed(&mut state, now, SPAN * 5);
+    let total = count_granted(&mut state, now, SPAN * 5);
     assert!((36..=41).contains(&total), "{total}");
 }
 
@@ -52,11 +52,11 @@
     let mut state = OwnerState::default();
     let limits = |rate| Arc::new(HashMap::from([(target(), limit(rate))]));
     state.update_rate_limits(now, &limits(1.0));
-    assert!(passed(&mut state, now, SPAN) <= 5);
+    assert!(count_granted(&mut state, now, SPAN) <= 5);
     state.update_rate_limits(now + SPAN, &Arc::default());
     assert!(state.plain_target_buckets.is_empty());
     state.update_rate_limits(now + SPAN, &limits(1.0));
-    let total = passed(&mut state, now + SPAN, SPAN);
+    let total = count_granted(&mut state, now + SPAN, SPAN);
     assert!(
         total <= 5,
         "{total}: the owner's limit takes precedence over the requesting node's"
--- a/crates/azuresaddle-edge/src/targets/health.rs
+++ b/crates/azuresaddle-edge/src/targets/health.rs
@@ -60,10 +60,11 @@
     ) -> Option<(Arc<TargetEntry>, InFlightGuard)> {
         let now = Instant::now();
         let mut observations = self.lock();
-        let usable = |t: &&Arc<TargetEntry>, open: bool| {
+        let usable = |t: &&Arc<TargetEntry>, only_preferred: bool| {
             let state = observations.get(&t.id);
             !exclude.contains(&t.id)
-                && state.is_none_or(|s| s.is_usable(now) && (!open || s.is_preferred(now)))
+                && state
+                    .is_none_or(|s| s.is_usable(now) && (!only_preferred || s.is_preferred(now)))
                 && self.back_offs.until(&t.id).is_none()
         };
         let mut candidates: Vec<&Arc<TargetEntry>> =
