--- a/crates/azuresaddle-edge/src/placement/client.rs
+++ b/crates/azuresaddle-edge/src/placement/client.rs
@@ -71,7 +71,7 @@
     pub(crate) owner: Arc<Owner>,
     pub(crate) peers: PeerClients<N>,
     pub(crate) snapshots: Snapshots,
-    /// Reports the incarnation of an owner that does not answer to control.
+    /// Tells control the incarnation of an owner that does not answer.
     pub(crate) unresponsive_owners: mpsc::Sender<u64>,
 }
 
@@ -87,7 +87,7 @@
     reports: mpsc::Sender<StreamReport>,
     /// Incremented when the connection to the owner is found dead, so that requests on it are repeated.
     reconnects: watch::Sender<u64>,
-    /// Reports the incarnation of an owner that does not answer to control.
+    /// Tells control the incarnation of an owner that does not answer.
     unresponsive_owners: mpsc::Sender<u64>,
 }
 
@@ -350,7 +350,7 @@
         self.report_unresponsive(owner);
     }
 
-    /// Reports an owner that does not answer to control, which may choose another one.
+    /// Tells control of an owner that does not answer; control may then choose another one.
     fn report_unresponsive(&self, owner: u64) {
         // A full channel already contains such reports.
         let _ = self.unresponsive_owners.try_send(owner);
--- a/crates/azuresaddle-edge/src/placement/guard.rs
+++ b/crates/azuresaddle-edge/src/placement/guard.rs
@@ -14,9 +14,9 @@
     pub(super) placement: Arc<PlacementClient<N>>,
     pub(super) id: PlacementId,
     pub(super) service: Arc<str>,
-    /// Engine that runs the stream.
+    /// Engine that receives the request and writes the answer.
     pub(crate) lead: HostName,
-    /// Engines that help the lead.
+    /// Engines that read parts of the prompt.
     pub(crate) helpers: Vec<HostName>,
     /// Memory to reserve on each helper, in tokens; 0 for none.
     pub(crate) helper_memory_tokens: u64,
--- a/crates/azuresaddle-edge/src/placement/owner.rs
+++ b/crates/azuresaddle-edge/src/placement/owner.rs
@@ -24,7 +24,7 @@
     state: Mutex<OwnerState>,
     /// Wakes the timer task when its next wake-up may have changed.
     changed: Notify,
-    /// Engines whose pace should be queried.
+    /// Engines whose pace, the time of their work relative to a usual engine, should be queried.
     pace_questions: mpsc::Sender<HostName>,
 }
 
--- a/crates/azuresaddle-edge/src/placement/reporter.rs
+++ b/crates/azuresaddle-edge/src/placement/reporter.rs
@@ -36,7 +36,7 @@
             _ = owner.changed() => {}
             _ = sync.tick() => {}
         }
-        // Starts again if the owner changes during the call.
+        // Sends again if the owner changes while the previous one does not answer.
         while is_interrupted_by_owner_change(&mut owner, send_sync(&placement)).await {}
     }
 }
--- a/crates/azuresaddle-edge/src/quarantine/shared.rs
+++ b/crates/azuresaddle-edge/src/quarantine/shared.rs
@@ -20,7 +20,7 @@
 /// This node's quarantine. Traffic checks requests against it; control shares it with the other nodes.
 pub(crate) struct SharedQuarantine {
     quarantine: Mutex<Quarantine>,
-    /// Good ends of requests without known crashes.
+    /// Good ends of requests that `quarantine` has no record of.
     recent_good_ends: Mutex<RecentGoodEnds>,
     /// Number of requests in `quarantine`; if it is 0, checks do not take the lock.
     known_requests: AtomicUsize,
--- a/crates/azuresaddle-edge/src/signals.rs
+++ b/crates/azuresaddle-edge/src/signals.rs
@@ -16,13 +16,15 @@
     pub(crate) started: TargetStart,
     /// When the request was sent; signals announced before that may have changed since.
     pub(crate) sent_at: Instant,
+    /// When the answer was received.
     pub(crate) seen_at: Instant,
-    /// Whether the target served a request; failures, reports and orders may lack the headers for other reasons.
+    /// Whether the target served a request. Only then a missing header means that a signal ended: failures, reports and
+    /// orders may lack the headers for other reasons.
     pub(crate) is_served: bool,
     pub(crate) signals: TargetSignals,
 }
 
-/// Signals of one target, for other nodes.
+/// Signals of one target, as nodes exchange them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct SignalUpdate {
     pub(crate) target: HostName,
--- a/crates/azuresaddle-edge/src/targets/health.rs
+++ b/crates/azuresaddle-edge/src/targets/health.rs
@@ -205,7 +205,7 @@
         };
     }
 
-    /// Whether a request may be sent if no other target is left.
+    /// Whether a request may be sent at all, also if no other target is left.
     fn is_usable(&self, now: Instant) -> bool {
         !self.is_address_reused && self.limited_until(now).is_none()
     }
@@ -215,7 +215,7 @@
         self.limited_until.filter(|until| now < *until)
     }
 
-    /// Whether a request may be sent while there are other targets.
+    /// Whether a request may be sent even if there are other targets: no recent refusal, and the circuit breaker allows it.
     fn is_preferred(&self, now: Instant) -> bool {
         self.paused_until.is_none_or(|until| now >= until)
             && self.breaker.allows(now, self.in_flight as usize)
