--- a/crates/azuresaddle-sched/src/quarantine/recent.rs
+++ b/crates/azuresaddle-sched/src/quarantine/recent.rs
@@ -55,17 +55,17 @@
 
     /// Removes the runs of a request and returns those that their targets survived.
     ///
-    /// `has_ended` tells whether a target, given by its hash, is known to have ended since.
+    /// `has_crashed` tells whether a target, given by its hash, is known to have crashed since.
     pub fn take(
         &mut self,
         now: Instant,
         request: Fingerprint,
-        has_ended: impl Fn(u64) -> bool,
+        has_crashed: impl Fn(u64) -> bool,
     ) -> Vec<SuccessfulRun> {
         let runs = self.0.remove(&request).unwrap_or_default();
         let is_evidence = |run: &Run| {
             let age = now.saturating_duration_since(run.at);
-            (SURVIVAL_TIME..RETENTION).contains(&age) && !has_ended(run.target)
+            (SURVIVAL_TIME..RETENTION).contains(&age) && !has_crashed(run.target)
         };
         let runs = runs.into_iter().filter(is_evidence);
         runs.map(|run| SuccessfulRun {
--- a/crates/azuresaddle-sched/src/quarantine/state.rs
+++ b/crates/azuresaddle-sched/src/quarantine/state.rs
@@ -83,7 +83,9 @@
             .chain(own);
         let number = match all.max_by_key(|(number, _)| *number) {
             None => 0,
-            Some((last, ended_at)) if sent_at > ended_at + RESTART_TIME => last.saturating_add(1),
+            Some((last, crashed_at)) if sent_at > crashed_at + RESTART_TIME => {
+                last.saturating_add(1)
+            }
             Some((last, _)) => last,
         };
         TargetIncarnation { target, number }
@@ -91,10 +93,10 @@
 
     /// Records a crash, whether seen here or reported by another node.
     pub fn on_crash(&mut self, now: Instant, crash: Crash) -> CrashStatus {
-        let learned = self
+        let status = self
             .record(now, crash.fingerprint)
             .on_crash(now, crash.target);
-        if learned == CrashStatus::New {
+        if status == CrashStatus::New {
             let crashed =
                 self.crashed_targets
                     .entry(crash.target)
@@ -106,7 +108,7 @@
                 crashed.requests.push(crash.fingerprint);
             }
         }
-        learned
+        status
     }
 
     /// Records a successful run of a request; false if it was known or no more runs are counted.
