--- a/crates/azuresaddle-sched/src/passes/queue.rs
+++ b/crates/azuresaddle-sched/src/passes/queue.rs
@@ -9,7 +9,7 @@
 use crate::fair_clock::FairTag;
 
 /// Sort key of a waiting request: its position, then its arrival number.
-type Rank = (QueuePosition, u64);
+type QueueKey = (QueuePosition, u64);
 
 /// Position of a request in the queue; all short prompts come before all long ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -53,8 +53,8 @@
 /// Waiting requests in queue order.
 #[derive(Debug, Default)]
 pub(super) struct Queue {
-    by_rank: BTreeMap<Rank, Waiting>,
-    ranks: HashMap<PlacementId, Rank>,
+    by_key: BTreeMap<QueueKey, Waiting>,
+    keys: HashMap<PlacementId, QueueKey>,
     arrivals: u64,
     by_account: HashMap<ClientAccount, AccountQueue>,
 }
@@ -62,20 +62,20 @@
 impl Queue {
     pub(super) fn push(&mut self, waiting: Waiting) {
         self.arrivals += 1;
-        let rank = (waiting.position, self.arrivals);
-        self.ranks.insert(waiting.request.id, rank);
+        let key = (waiting.position, self.arrivals);
+        self.keys.insert(waiting.request.id, key);
         let first = AccountQueue {
             count: 0,
             since: waiting.queued_at,
         };
         let account = waiting.request.account.clone();
         self.by_account.entry(account).or_insert(first).count += 1;
-        self.by_rank.insert(rank, waiting);
+        self.by_key.insert(key, waiting);
     }
 
     pub(super) fn remove(&mut self, id: PlacementId) -> Option<Waiting> {
-        let rank = self.ranks.remove(&id)?;
-        let waiting = self.by_rank.remove(&rank)?;
+        let key = self.keys.remove(&id)?;
+        let waiting = self.by_key.remove(&key)?;
         let account = &waiting.request.account;
         if let Some(queue) = self.by_account.get_mut(account) {
             queue.count -= 1;
@@ -87,24 +87,24 @@
     }
 
     pub(super) fn get(&self, id: PlacementId) -> Option<&Waiting> {
-        self.by_rank.get(self.ranks.get(&id)?)
+        self.by_key.get(self.keys.get(&id)?)
     }
 
     /// Waiting long prompts in queue order.
     pub(super) fn iter_long(&self) -> impl Iterator<Item = &Waiting> {
         let first = QueuePosition::new(true, 0.0);
-        self.by_rank.range((first, 0)..).map(|(_, w)| w)
+        self.by_key.range((first, 0)..).map(|(_, w)| w)
     }
 
     /// Number of waiting requests before a position in the queue, counted up to a bound.
     pub(super) fn count_before(&self, position: QueuePosition) -> usize {
-        let before = self.by_rank.range(..(position, 0));
+        let before = self.by_key.range(..(position, 0));
         before.take(MAX_COUNTED).count()
     }
 
     /// Whether a long prompt waits; long prompts are at the end of the queue.
     pub(super) fn has_long(&self) -> bool {
-        let last = self.by_rank.last_key_value();
+        let last = self.by_key.last_key_value();
         last.is_some_and(|((position, _), _)| position.is_long)
     }
 
@@ -114,24 +114,24 @@
     }
 
     pub(super) fn contains(&self, id: PlacementId) -> bool {
-        self.ranks.contains_key(&id)
+        self.keys.contains_key(&id)
     }
 
     pub(super) fn iter(&self) -> impl Iterator<Item = &Waiting> {
-        self.by_rank.values()
+        self.by_key.values()
     }
 
     pub(super) fn len(&self) -> usize {
-        self.by_rank.len()
+        self.by_key.len()
     }
 
     pub(super) fn is_empty(&self) -> bool {
-        self.by_rank.is_empty()
+        self.by_key.is_empty()
     }
 
     pub(super) fn retain_nodes(&mut self, mut keep: impl FnMut(u64) -> bool) {
         let gone: Vec<PlacementId> = self
-            .ranks
+            .keys
             .keys()
             .filter(|id| !keep(id.node))
             .copied()
--- a/crates/azuresaddle-sched/src/passes/short_load.rs
+++ b/crates/azuresaddle-sched/src/passes/short_load.rs
@@ -26,7 +26,7 @@
     /// Records the start of a short prompt.
     pub(super) fn on_start(&mut self, now: Instant) {
         self.starts.push_back(now);
-        self.forget(now);
+        self.drop_expired(now);
     }
 
     /// Expected wait of a prompt behind `ahead` others.
@@ -37,7 +37,7 @@
         WINDOW.mul_f64((ahead as f64 + 1.0) / starts)
     }
 
-    fn forget(&mut self, now: Instant) {
+    fn drop_expired(&mut self, now: Instant) {
         while let Some(first) = self.starts.front()
             && now.saturating_duration_since(*first) > WINDOW
         {
--- a/crates/azuresaddle-sched/src/passes/short_plan.rs
+++ b/crates/azuresaddle-sched/src/passes/short_plan.rs
@@ -114,8 +114,9 @@
                 candidate.wait_ms + candidate.base_ms + prefill_ms * candidate.pace_factor;
             let is_on_time = first_event_ms <= left_ms;
             let keeps_pauses = !options.check_pauses || candidate.headroom_ms >= prefill_ms;
-            let is_good = keeps_pauses && (is_on_time || requirement != ShortRequirement::OnTime);
-            let is_usable = is_good || requirement == ShortRequirement::Nothing;
+            let meets_requirement =
+                keeps_pauses && (is_on_time || requirement != ShortRequirement::OnTime);
+            let is_usable = meets_requirement || requirement == ShortRequirement::Nothing;
             if !is_usable || candidate.free_tokens < memory {
                 continue;
             }
@@ -124,14 +125,14 @@
                 continue;
             }
             let rank = Rank {
-                is_good,
+                meets_requirement,
                 packed: if options.pack_short {
                     engine.count_with_pause(request.pause)
                 } else {
                     0
                 },
                 same_domain: engine.domain == request.domain,
-                soon: -first_event_ms,
+                negated_first_event_ms: -first_event_ms,
             };
             let plan = ShortPlan {
                 engine: candidate.key,
@@ -148,22 +149,26 @@
 /// Ranks engines for a short prompt.
 #[derive(Clone, Copy, Debug)]
 struct Rank {
-    is_good: bool,
+    meets_requirement: bool,
     /// Number of streams there whose longest pause is no longer than that of the prompt.
     packed: usize,
     same_domain: bool,
-    soon: f64,
+    negated_first_event_ms: f64,
 }
 
 impl Rank {
     fn is_better_than(&self, other: &Self) -> bool {
-        if self.is_good != other.is_good {
-            return self.is_good;
+        if self.meets_requirement != other.meets_requirement {
+            return self.meets_requirement;
         }
-        if !self.is_good {
-            return self.soon > other.soon;
+        if !self.meets_requirement {
+            return self.negated_first_event_ms > other.negated_first_event_ms;
         }
         let by = (self.packed, self.same_domain).cmp(&(other.packed, other.same_domain));
-        by.then(self.soon.total_cmp(&other.soon)).is_gt()
+        by.then(
+            self.negated_first_event_ms
+                .total_cmp(&other.negated_first_event_ms),
+        )
+        .is_gt()
     }
 }
--- a/crates/azuresaddle-sched/tests/suite/passes/long.rs
+++ b/crates/azuresaddle-sched/tests/suite/passes/long.rs
@@ -124,8 +124,8 @@
     pool.on_first_event(now + Duration::from_millis(60), id(1));
     for n in 2..6 {
         let at = now + Duration::from_millis(400 * n);
-        let review = start(&mut pool, at, n, 45_000).unwrap();
-        assert_eq!(review.lead, short.lead);
+        let long = start(&mut pool, at, n, 45_000).unwrap();
+        assert_eq!(long.lead, short.lead);
         pool.on_first_event(at + Duration::from_millis(150), id(n));
     }
 }
--- a/crates/azuresaddle-sched/tests/suite/passes/pace_probes.rs
+++ b/crates/azuresaddle-sched/tests/suite/passes/pace_probes.rs
@@ -60,9 +60,9 @@
     let now = Instant::now();
     let mut slow = pool(now, 1);
     slow.on_pace(now, &name(0), SLOW);
-    let usual = start(&mut pool(now, 1), now, 1, 45_000).unwrap();
+    let reference = start(&mut pool(now, 1), now, 1, 45_000).unwrap();
     let slow = start(&mut slow, now, 1, 45_000).unwrap();
-    let ratio = slow.first_event_in.as_secs_f64() / usual.first_event_in.as_secs_f64();
+    let ratio = slow.first_event_in.as_secs_f64() / reference.first_event_in.as_secs_f64();
     assert!((ratio - SLOW).abs() < 0.1, "{ratio}");
 }
 
--- a/crates/azuresaddle-sched/tests/suite/passes/rate_limits.rs
+++ b/crates/azuresaddle-sched/tests/suite/passes/rate_limits.rs
@@ -142,8 +142,8 @@
     pool.on_pace(now, &name(0), 4.0);
     let limited = limit(0.5);
     pool.set_rate_limits(now, |_| Some(&limited));
-    let start_times = (0..200).map(|n| now + Duration::from_millis(100) * n);
-    let probed = start_times.filter(|at| !pool.take_pace_probes(*at).is_empty());
+    let check_times = (0..200).map(|n| now + Duration::from_millis(100) * n);
+    let probed = check_times.filter(|at| !pool.take_pace_probes(*at).is_empty());
     let probed: Vec<Instant> = probed.collect();
     assert!((8..=11).contains(&probed.len()), "{} in 20 s", probed.len());
     let last = probed[probed.len() - 1];
--- a/crates/azuresaddle-sched/tests/suite/passes/streams.rs
+++ b/crates/azuresaddle-sched/tests/suite/passes/streams.rs
@@ -42,12 +42,12 @@
 async fn a_new_owner_knows_which_engines_are_prefilling() {
     let now = Instant::now();
     let mut pool = pool(now, 3);
-    let mut reading = running_stream(1, 0);
-    reading.helpers = vec![name(1)];
-    reading.prompt_tokens = 400_000;
-    reading.is_decoding = false;
-    reading.first_event_in = Duration::from_secs(4);
-    pool.sync_node(now, 1, &[reading], |_| false);
+    let mut prefilling = running_stream(1, 0);
+    prefilling.helpers = vec![name(1)];
+    prefilling.prompt_tokens = 400_000;
+    prefilling.is_decoding = false;
+    prefilling.first_event_in = Duration::from_secs(4);
+    pool.sync_node(now, 1, &[prefilling], |_| false);
 
     let long = start(&mut pool, now, 2, 60_000).unwrap();
     assert_eq!((long.lead, long.helpers), (name(2), Vec::new()));
