--- a/crates/azuresaddle-edge/src/peer/messages.rs
+++ b/crates/azuresaddle-edge/src/peer/messages.rs
@@ -102,7 +102,7 @@
     /// Running streams by service.
     pub(crate) running: Vec<(String, RunningStream)>,
     /// Requests without a decision.
-    pub(crate) waiting: Vec<AskId>,
+    pub(crate) waiting: Vec<PlacementId>,
     /// Highest request number when this message was made; later requests have higher numbers.
     pub(crate) up_to: u64,
 }
--- a/crates/azuresaddle-edge/src/placement/client.rs
+++ b/crates/azuresaddle-edge/src/placement/client.rs
@@ -176,7 +176,7 @@
 
     /// Sends the request to the current owner, and again after each change of owner, until there is a decision or the
     /// deadline has passed.
-    async fn request_until_decided(&self, id: AskId, req: &PlaceRequest) -> PlaceReply {
+    async fn request_until_decided(&self, id: PlacementId, req: &PlaceRequest) -> PlaceReply {
         let mut owner_changes = self.snapshots.subscribe_owner();
         let mut reconnects = self.reconnects.subscribe();
         let mut failing_since: Option<Instant> = None;
@@ -309,7 +309,7 @@
     }
 
     /// Queues a report to the owner about a stream.
-    pub(super) fn report(&self, id: AskId, service: &Arc<str>, kind: ReportKind) {
+    pub(super) fn report(&self, id: PlacementId, service: &Arc<str>, kind: ReportKind) {
         let report = StreamReport {
             id,
             service: service.to_string(),
--- a/crates/azuresaddle-edge/src/placement/guard.rs
+++ b/crates/azuresaddle-edge/src/placement/guard.rs
@@ -37,7 +37,7 @@
     }
 
     /// Releases the engines and reports the outcome to the owner.
-    pub(crate) fn end(mut self, outcome: PassOutcome) {
+    pub(crate) fn end(mut self, outcome: StreamOutcome) {
         self.finish(outcome);
     }
 
--- a/crates/azuresaddle-edge/src/placement/owner_state.rs
+++ b/crates/azuresaddle-edge/src/placement/owner_state.rs
@@ -30,7 +30,7 @@
     pub(super) options: PassOptions,
     pub(super) pools: HashMap<Arc<str>, PassPool>,
     /// Where to send the decisions about waiting requests.
-    pub(super) waiters: HashMap<AskId, oneshot::Sender<PassDecision>>,
+    pub(super) waiters: HashMap<PlacementId, oneshot::Sender<PlacementDecision>>,
     /// Whether this node is the owner.
     pub(super) is_owner: bool,
     /// Set while placement waits for the nodes to send their streams.
@@ -261,7 +261,7 @@
                     .is_some_and(|tx| tx.send(decision).is_ok());
                 if !is_delivered {
                     // The requester is gone, so the stream will not run.
-                    pool.end(now, id, &PassOutcome::Cancelled);
+                    pool.end(now, id, &StreamOutcome::Cancelled);
                 }
             }
         }
--- a/crates/azuresaddle-edge/src/quarantine/shared.rs
+++ b/crates/azuresaddle-edge/src/quarantine/shared.rs
@@ -21,7 +21,7 @@
 pub(crate) struct SharedQuarantine {
     quarantine: Mutex<Quarantine>,
     /// Good ends of requests that `quarantine` has no record of.
-    recent_good_ends: Mutex<RecentGoodEnds>,
+    recent_good_ends: Mutex<RecentSuccessfulRuns>,
     /// Number of requests in `quarantine`; if it is 0, checks do not take the lock.
     known_requests: AtomicUsize,
     /// Incremented for each request that is quarantined.
@@ -45,7 +45,7 @@
     }
 
     /// The present standing of a request.
-    pub(crate) fn standing(&self, request: Fingerprint) -> Standing {
+    pub(crate) fn standing(&self, request: Fingerprint) -> RequestStatus {
         if self.known_requests.load(Ordering::Relaxed) == 0 {
             return RequestStatus::Clear;
         }
@@ -137,7 +137,7 @@
 
     /// Applies a good end that this or another node observed. Returns whether it is new.
     pub(crate) fn learn_good_end(&self, end: SuccessfulRun) -> bool {
-        self.update(end.fingerprint, |state, now| state.on_good_end(now, end))
+        self.update(end.fingerprint, |state, now| state.on_successful_run(now, end))
     }
 
     /// Ends a request's quarantine by order of an operator, which this or another node received. Returns `false` if
@@ -196,7 +196,7 @@
 
     /// Known good ends of one request.
     pub(crate) fn good_ends_of(&self, request: Fingerprint) -> Vec<SuccessfulRun> {
-        self.lock().good_ends_of(request)
+        self.lock().successful_runs_of(request)
     }
 
     /// Known crashes of all quarantined requests.
--- a/crates/azuresaddle-edge/src/quarantine/update.rs
+++ b/crates/azuresaddle-edge/src/quarantine/update.rs
@@ -10,7 +10,7 @@
     /// A target ended while it processed the request.
     Crash(Crash),
     /// A run of the request ended well, and its target survived.
-    SuccessfulRun(SuccessfulRun),
+    GoodEnd(SuccessfulRun),
     /// An operator ended the request's quarantine.
     Pardon(Fingerprint),
 }
