--- a/crates/azuresaddle-edge/src/control/fetch.rs
+++ b/crates/azuresaddle-edge/src/control/fetch.rs
@@ -104,12 +104,12 @@
         if let Some(addr) = self.members.choose_peer(now, is_later) {
             self.differs_since = None;
             let since = *self.behind_since.get_or_insert(now);
-            let patience = if self.members.should_watch(now) {
+            let head_start = if self.members.should_watch(now) {
                 WATCH_HEAD_START
             } else {
                 Duration::ZERO
             };
-            let is_due = now.saturating_duration_since(since) >= patience;
+            let is_due = now.saturating_duration_since(since) >= head_start;
             return is_due.then_some((addr, FetchScope::Changes(targets)));
         }
         self.behind_since = None;
--- a/crates/azuresaddle-edge/src/control/members.rs
+++ b/crates/azuresaddle-edge/src/control/members.rs
@@ -169,11 +169,11 @@
         self.members
             .retain(|_, m| now.saturating_duration_since(m.heard_at) < MEMBER_RETENTION);
         let claimed = self.check_suspicion(now);
-        let patience_ends = self.claim_wait_ends();
-        let patience_ended = before < patience_ends && patience_ends <= now;
+        let claim_wait_ends = self.claim_wait_ends();
+        let claim_wait_ended = before < claim_wait_ends && claim_wait_ends <= now;
         let mut members = self.members.values();
         let alive_changed = members.any(|m| self.is_alive(m, before) != self.is_alive(m, now));
-        alive_changed || claimed || patience_ended
+        alive_changed || claimed || claim_wait_ended
     }
 
     /// Returns the live nodes including this one, and the incarnation of the owner; [`NO_OWNER`] if
--- a/crates/azuresaddle-edge/src/control/signal_records.rs
+++ b/crates/azuresaddle-edge/src/control/signal_records.rs
@@ -195,8 +195,8 @@
     /// Returns whether an answer without a limit lifts the known one: its request was sent after
     /// the limit was announced.
     fn lifts_limit(&self, observed: &ObservedSignals) -> bool {
-        let named_at = self.limit_seen_at.filter(|_| self.rate_limit.is_some());
-        observed.is_served && named_at.is_some_and(|at| observed.sent_at >= at + REORDER_WINDOW)
+        let announced_at = self.limit_seen_at.filter(|_| self.rate_limit.is_some());
+        observed.is_served && announced_at.is_some_and(|at| observed.sent_at >= at + REORDER_WINDOW)
     }
 
     fn update(&self, now: Instant, target: &HostName) -> SignalUpdate {
--- a/crates/azuresaddle-edge/src/control/tests/store_model/mod.rs
+++ b/crates/azuresaddle-edge/src/control/tests/store_model/mod.rs
@@ -154,7 +154,7 @@
     let failed = (0..300).filter(|_| {
         let (seed, events) = event_sequences
             .new_tree(&mut runner)
-            .expect("a series")
+            .expect("an event sequence")
             .current();
         run(seed, &events, without).is_err()
     });
