--- a/crates/azuresaddle-edge/src/control/store_watch.rs
+++ b/crates/azuresaddle-edge/src/control/store_watch.rs
@@ -50,7 +50,8 @@
     Era(StoreEra),
 }
 
-/// Reads the complete store, then watches it while `enabled`. Returns when the receiver is closed.
+/// Reads the complete store, then watches it while `enabled`. Returns once nobody receives the events
+/// or can enable the watch.
 pub(super) async fn watch_store<N: Network>(
     store: PlatformStore<N>,
     mut enabled: watch::Receiver<bool>,
--- a/crates/azuresaddle-edge/src/control/target_record.rs
+++ b/crates/azuresaddle-edge/src/control/target_record.rs
@@ -63,7 +63,7 @@
     number: EntryNumber,
     /// The entry with that number; `None` if none could be decoded.
     entry: Option<Arc<TargetEntry>>,
-    /// Latest value of the key, as written by the target.
+    /// Latest value of the key, as written to the store.
     value: Option<Arc<[u8]>>,
     presence: Presence,
 }
