--- a/crates/azuresaddle-edge/src/placement/tests/rounds.rs
+++ b/crates/azuresaddle-edge/src/placement/tests/rounds.rs
@@ -56,7 +56,11 @@
 }
 
 /// Enqueues a request; the receiver gets its decision.
-fn arrive(state: &mut OwnerState, now: Instant, number: u64) -> oneshot::Receiver<PlacementDecision> {
+fn arrive(
+    state: &mut OwnerState,
+    now: Instant,
+    number: u64,
+) -> oneshot::Receiver<PlacementDecision> {
     let ask = ask(now, number);
     let (tx, rx) = oneshot::channel();
     state.waiters.insert(ask.id, tx);
--- a/crates/azuresaddle-edge/src/quarantine/shared.rs
+++ b/crates/azuresaddle-edge/src/quarantine/shared.rs
@@ -137,7 +137,9 @@
 
     /// Applies a good end that this or another node observed. Returns whether it is new.
     pub(crate) fn learn_good_end(&self, end: SuccessfulRun) -> bool {
-        self.update(end.fingerprint, |state, now| state.on_successful_run(now, end))
+        self.update(end.fingerprint, |state, now| {
+            state.on_successful_run(now, end)
+        })
     }
 
     /// Ends a request's quarantine by order of an operator, which this or another node received. Returns `false` if
