--- a/crates/azuresaddle-node/src/node.rs
+++ b/crates/azuresaddle-node/src/node.rs
@@ -20,7 +20,7 @@
 use crate::settings::{Settings, SettingsError};
 use crate::snapshot::{Admission, SharedSnapshot, Snapshot};
 use crate::traffic::{
-    AdminHandler, BUFFER_UNIT, CallerHandler, ServiceLoad, Traffic, spawn_reporter,
+    AdminHandler, BODY_PERMIT_BYTES, CallerHandler, ServiceLoad, Traffic, spawn_reporter,
 };
 
 /// Most commands that wait for control; more senders wait.
@@ -212,16 +212,16 @@
             peers.clone(),
             &self.spawner,
         );
-        let permits = self.settings.max_buffered_bytes / BUFFER_UNIT;
+        let permits = self.settings.max_buffered_bytes / BODY_PERMIT_BYTES;
         Traffic {
             engines: EngineClient::new(http.clone(), self.settings.target_timeout),
             claims: Claims::spawn(&store, name, &self.spawner),
             settings: Arc::clone(&self.settings),
-            live: self.live.clone(),
-            buffer: Arc::new(Semaphore::new(permits.min(Semaphore::MAX_PERMITS))),
+            live_streams: self.live.clone(),
+            body_permits: Arc::new(Semaphore::new(permits.min(Semaphore::MAX_PERMITS))),
             spawner: self.spawner.clone(),
             metrics: self.metrics.clone(),
-            services: ServiceLoad::default(),
+            service_load: ServiceLoad::default(),
             snapshot,
             control,
             peers,
--- a/crates/azuresaddle-node/src/traffic/answers.rs
+++ b/crates/azuresaddle-node/src/traffic/answers.rs
@@ -9,7 +9,7 @@
 
 use super::headers::{CallerHeaders, HEADER_RESUME_TOKEN, text};
 use super::problems;
-use super::relay::{Progress, Relay, RelayEnd};
+use super::relay::{Progress, Relay, RelayError};
 use super::reserve::Placement;
 use super::respond::respond;
 use super::resume_token::ResumeToken;
@@ -20,7 +20,7 @@
 use crate::peer::{PeerClient, ReportKind, TakeOver};
 
 impl<N: Network> Traffic<N> {
-    pub(super) async fn answer(
+    pub(super) async fn resume_answer(
         self: Arc<Self>,
         req: Request<Incoming>,
         id: &str,
@@ -46,25 +46,25 @@
             let detail = "the answer belongs to another client account";
             return Err(Problem::not_run(StatusCode::FORBIDDEN, "not-yours", detail));
         }
-        let placement = self.place_resumed(&token)?;
+        let placement = self.resumed_placement(&token)?;
         let opened = self.take_over(&placement, after).await?;
         let (sink, source) = caller_channel();
         let traffic = Arc::clone(&self);
         let account = token.account;
         self.spawner.spawn(async move {
             traffic
-                .resume_answer(account, placement, after, opened, sink)
+                .relay_resumed(account, placement, after, opened, sink)
                 .await;
         });
         respond(source).await
     }
 
-    fn place_resumed(&self, token: &ResumeToken) -> Result<Placement, Problem> {
+    fn resumed_placement(&self, token: &ResumeToken) -> Result<Placement, Problem> {
         let hosts = &self.snapshot.load().hosts;
         let engine = hosts
             .engines
             .get(&token.target)
-            .ok_or_else(|| lost("its target is gone"))?;
+            .ok_or_else(|| answer_lost("its target is gone"))?;
         Ok(Placement {
             pool: token.pool.clone(),
             stream: token.stream,
@@ -77,19 +77,19 @@
     /// Reads the stream in place of the node that read it before.
     async fn take_over(&self, placement: &Placement, after: u64) -> Result<EngineStream, Problem> {
         let own = &self.settings.name;
-        self.announce_take_over(placement);
+        self.report_take_over(placement);
         let (_, addr) = placement.targets[0];
         self.engines
             .resume(addr, placement.stream, after, own, true)
             .await
             .map_err(|e| match e {
-                EngineFailure::UnknownStream => lost("its target does not have it any more"),
-                e => lost(&e.to_string()),
+                EngineFailure::UnknownStream => answer_lost("its target does not have it any more"),
+                e => answer_lost(&e.to_string()),
             })
     }
 
     /// Tells the owner, so that it does not cancel the stream with the node that vanished.
-    fn announce_take_over(&self, placement: &Placement) {
+    fn report_take_over(&self, placement: &Placement) {
         let take_over = TakeOver {
             pool: placement.pool.clone(),
             stream: placement.stream,
@@ -112,7 +112,7 @@
         });
     }
 
-    async fn resume_answer(
+    async fn relay_resumed(
         &self,
         account: ClientAccount,
         placement: Placement,
@@ -120,9 +120,9 @@
         opened: EngineStream,
         mut sink: CallerSink,
     ) {
-        let _live = self.live.enter(placement.stream, &placement.pool);
+        let _live = self.live_streams.enter(placement.stream, &placement.pool);
         let mut progress = Progress {
-            next: after,
+            next_index: after,
             may_have_run: true,
             ..Progress::default()
         };
@@ -133,32 +133,32 @@
             placement: &placement,
             sink: &mut sink,
             progress: &mut progress,
-            announced: false,
+            is_start_sent: false,
         };
         let end = tokio::select! {
             end = relay.run(Some(opened)) => end,
-            () = caller.closed() => Err(RelayEnd::CallerGone),
+            () = caller.closed() => Err(RelayError::CallerGone),
         };
         drop(caller);
-        let target_failed = matches!(end, Err(RelayEnd::Target(_)));
+        let target_failed = matches!(end, Err(RelayError::TargetFailed(_)));
         match end {
-            Ok(()) => self.report(&placement, ReportKind::Ended(progress.done())),
-            Err(RelayEnd::Displaced) => {}
-            Err(RelayEnd::CallerGone) => {
+            Ok(()) => self.report(&placement, ReportKind::Ended(progress.completed())),
+            Err(RelayError::Displaced) => {}
+            Err(RelayError::CallerGone) => {
                 self.report(&placement, ReportKind::Abandoned { target_failed });
             }
-            Err(RelayEnd::Target(detail) | RelayEnd::Refused(detail)) => {
+            Err(RelayError::TargetFailed(detail) | RelayError::TargetRefused(detail)) => {
                 self.report(&placement, ReportKind::Abandoned { target_failed });
                 sink.fail(problems::target_failed(&detail, Verdict::MayHaveRun))
                     .await;
             }
-            Err(RelayEnd::Failed(problem)) => sink.fail(problem).await,
+            Err(RelayError::Failed(problem)) => sink.fail(problem).await,
         }
     }
 }
 
 /// The problem of an answer that can't be gone on with; the caller may ask anew.
-fn lost(why: &str) -> Problem {
+fn answer_lost(why: &str) -> Problem {
     let detail = format!("the answer can't be resumed: {why}");
     Problem::not_run(StatusCode::GONE, "answer-lost", detail).verdict(Verdict::MayHaveRun)
 }
--- a/crates/azuresaddle-node/src/traffic/call.rs
+++ b/crates/azuresaddle-node/src/traffic/call.rs
@@ -95,7 +95,7 @@
             .get_or_insert(req.method() == Method::GET);
         let service = Model::new(service);
         let treatment = self.treatment(&headers, &service, 0)?;
-        let _buffer = self.reserve_buffer(req.headers())?;
+        let _body_permit = self.acquire_body_permit(req.headers())?;
         let request = RequestId::random();
         let call = Call {
             request,
@@ -104,7 +104,7 @@
             content_type: req.headers().get(CONTENT_TYPE).cloned(),
             body: self.read_body(req.into_body()).await?,
         };
-        self.claim_key(&headers, request, treatment.deadline)
+        self.claim_idempotency_key(&headers, request, treatment.deadline)
             .await?;
         let deadline = arrived + treatment.deadline;
         self.send_call(&service, &call, &treatment, deadline).await
@@ -121,12 +121,12 @@
         let mut hosts = self.usable_hosts(service)?;
         let mut last = None;
         for _ in 0..MAX_HOSTS {
-            let Some(host) = self.services.pick(Instant::now(), &hosts) else {
+            let Some(host) = self.service_load.pick(Instant::now(), &hosts) else {
                 break;
             };
             hosts.retain(|h| h.name != host.name);
             let sent = self.send_to(host.addr, call, deadline).await;
-            self.services
+            self.service_load
                 .finish(Instant::now(), &host.name, sent.is_ok());
             let e = match sent {
                 Ok(response) => return Ok(response),
--- a/crates/azuresaddle-node/src/traffic/generate.rs
+++ b/crates/azuresaddle-node/src/traffic/generate.rs
@@ -21,7 +21,7 @@
 use super::problems;
 use super::respond::respond;
 use super::sink::caller_channel;
-use super::state::{BUFFER_UNIT, Traffic};
+use super::state::{BODY_PERMIT_BYTES, Traffic};
 
 /// Most tokens of an answer.
 const MAX_ANSWER_TOKENS: u64 = 100_000;
@@ -59,13 +59,13 @@
         let arrived = Instant::now();
         self.check_admission()?;
         let headers = CallerHeaders::read(req.headers())?;
-        let buffer = self.reserve_buffer(req.headers())?;
+        let body_permit = self.acquire_body_permit(req.headers())?;
         let body = self.read_body(req.into_body()).await?;
         let body = parse_body(&body)?;
         self.check_model(&body.model)?;
         let treatment = self.treatment(&headers, &body.model, prompt_tokens(&body.prompt))?;
         let request = RequestId::random();
-        self.claim_key(&headers, request, treatment.deadline)
+        self.claim_idempotency_key(&headers, request, treatment.deadline)
             .await?;
         let job = Job {
             request,
@@ -79,7 +79,7 @@
             then: treatment.then,
             arrived,
             deadline: arrived + treatment.deadline,
-            _buffer: buffer,
+            _body_permit: body_permit,
         };
         let (sink, source) = caller_channel();
         let traffic = Arc::clone(&self);
@@ -97,23 +97,23 @@
     }
 
     /// Takes room for a body before it is read.
-    pub(super) fn reserve_buffer(
+    pub(super) fn acquire_body_permit(
         &self,
         headers: &HeaderMap,
     ) -> Result<OwnedSemaphorePermit, Problem> {
         let max = self.settings.max_body_bytes;
-        let stated = headers
+        let declared = headers
             .get(CONTENT_LENGTH)
             .and_then(|v| v.to_str().ok()?.parse().ok());
-        let bytes: usize = stated.unwrap_or(max);
+        let bytes: usize = declared.unwrap_or(max);
         if bytes > max {
             return Err(problems::bad_body(
                 azuresaddle_core::http::BodyError::TooLarge(max),
             ));
         }
-        let units = bytes.div_ceil(BUFFER_UNIT).max(1);
+        let units = bytes.div_ceil(BODY_PERMIT_BYTES).max(1);
         let permits = u32::try_from(units).unwrap_or(u32::MAX);
-        Arc::clone(&self.buffer)
+        Arc::clone(&self.body_permits)
             .try_acquire_many_owned(permits)
             .map_err(|_| {
                 let detail = "this node holds as many request bodies as it may";
@@ -177,7 +177,7 @@
     }
 
     /// Claims the request's idempotency key, if it has one.
-    pub(super) async fn claim_key(
+    pub(super) async fn claim_idempotency_key(
         &self,
         headers: &CallerHeaders,
         request: RequestId,
--- a/crates/azuresaddle-node/src/traffic/job.rs
+++ b/crates/azuresaddle-node/src/traffic/job.rs
@@ -23,7 +23,7 @@
     pub(super) arrived: Instant,
     pub(super) deadline: Instant,
     /// Room for the prompt, given back with the job.
-    pub(super) _buffer: OwnedSemaphorePermit,
+    pub(super) _body_permit: OwnedSemaphorePermit,
 }
 
 impl Job {
--- a/crates/azuresaddle-node/src/traffic/mod.rs
+++ b/crates/azuresaddle-node/src/traffic/mod.rs
@@ -35,4 +35,4 @@
 };
 pub use reporter::{ReportSender, spawn_reporter};
 pub use router::CallerHandler;
-pub use state::{BUFFER_UNIT, Traffic};
+pub use state::{BODY_PERMIT_BYTES, Traffic};
--- a/crates/azuresaddle-node/src/traffic/relay.rs
+++ b/crates/azuresaddle-node/src/traffic/relay.rs
@@ -14,7 +14,7 @@
 use crate::peer::{Report, ReportKind};
 
 /// Connections that are opened in a row to go on with a stream before its target is given up.
-const MAX_RESUMES: u32 = 3;
+const MAX_RECONNECTS: u32 = 3;
 
 /// How far an answer is.
 #[derive(Debug, Default)]
@@ -22,7 +22,7 @@
     /// Tokens that the caller has from this node.
     pub(super) tokens: Vec<String>,
     /// Index of the next token.
-    pub(super) next: u64,
+    pub(super) next_index: u64,
     pub(super) first_token_at: Option<Instant>,
     /// Whether a target may have started the request.
     pub(super) may_have_run: bool,
@@ -30,8 +30,8 @@
 
 impl Progress {
     /// The outcome of a whole answer.
-    pub(super) fn done(&self) -> Outcome {
-        let tokens = u32::try_from(self.next).unwrap_or(u32::MAX);
+    pub(super) fn completed(&self) -> Outcome {
+        let tokens = u32::try_from(self.next_index).unwrap_or(u32::MAX);
         Outcome::Done { tokens }
     }
 
@@ -47,23 +47,23 @@
 
 /// Why a relay ended without a whole answer.
 #[derive(Debug)]
-pub(super) enum RelayEnd {
+pub(super) enum RelayError {
     /// The caller has gone away.
     CallerGone,
     /// The caller goes on through another node.
     Displaced,
     /// The target failed; another one may do.
-    Target(String),
+    TargetFailed(String),
     /// The target did not take the request, but is not at fault; the same one may do later.
-    Refused(String),
+    TargetRefused(String),
     /// The answer can't be finished.
     Failed(Problem),
 }
 
 /// What one event did to the relay.
-enum Step {
-    Next,
-    Whole,
+enum EventEffect {
+    Continue,
+    Complete,
     /// The connection can't be trusted any more; a new one may do.
     Reconnect(String),
 }
@@ -76,7 +76,7 @@
     pub(super) sink: &'a mut CallerSink,
     pub(super) progress: &'a mut Progress,
     /// Whether the caller has this attempt's resume token.
-    pub(super) announced: bool,
+    pub(super) is_start_sent: bool,
 }
 
 impl<N: Network> Relay<'_, N> {
@@ -84,84 +84,97 @@
     ///
     /// Every event is checked: another stream's is never passed on, a doubled one is dropped, and
     /// after a missing one the stream is read again from there.
-    pub(super) async fn run(&mut self, mut opened: Option<EngineStream>) -> Result<(), RelayEnd> {
+    pub(super) async fn run(&mut self, mut opened: Option<EngineStream>) -> Result<(), RelayError> {
         let mut failure = String::new();
-        let mut resumes = 0;
+        let mut reconnects = 0;
         loop {
             let connection = match opened.take() {
                 Some(events) => Ok(events),
-                None if resumes >= MAX_RESUMES => return Err(RelayEnd::Target(failure)),
+                None if reconnects >= MAX_RECONNECTS => {
+                    return Err(RelayError::TargetFailed(failure));
+                }
                 None => {
-                    resumes += 1;
-                    self.resume().await?
+                    reconnects += 1;
+                    self.reconnect().await?
                 }
             };
-            let before = self.progress.next;
+            let before = self.progress.next_index;
             match connection {
-                Ok(events) => match self.read(events).await? {
-                    None => return self.finish().await,
+                Ok(events) => match self.read_connection(events).await? {
+                    None => return self.send_end().await,
                     Some(broken) => failure = broken,
                 },
                 Err(unreachable) => failure = unreachable,
             }
-            if self.progress.next > before {
-                resumes = 0;
+            if self.progress.next_index > before {
+                reconnects = 0;
             }
         }
     }
 
     /// Opens a connection at the next token; the inner error is worth another try.
-    async fn resume(&self) -> Result<Result<EngineStream, String>, RelayEnd> {
-        let Some((_, leader)) = self.placement.targets.first() else {
-            return Err(RelayEnd::Target("no target was reserved".to_owned()));
+    async fn reconnect(&self) -> Result<Result<EngineStream, String>, RelayError> {
+        let Some((_, lead)) = self.placement.targets.first() else {
+            return Err(RelayError::TargetFailed(
+                "no target was reserved".to_owned(),
+            ));
         };
         let own = &self.traffic.settings.name;
-        let next = self.progress.next;
+        let next = self.progress.next_index;
         let stream = self.placement.stream;
         let engines = &self.traffic.engines;
-        match engines.resume(*leader, stream, next, own, false).await {
+        match engines.resume(*lead, stream, next, own, false).await {
             Ok(events) => Ok(Ok(events)),
-            Err(EngineFailure::Displaced) => Err(RelayEnd::Displaced),
-            Err(e @ EngineFailure::UnknownStream) => Err(RelayEnd::Target(e.to_string())),
+            Err(EngineFailure::Displaced) => Err(RelayError::Displaced),
+            Err(e @ EngineFailure::UnknownStream) => Err(RelayError::TargetFailed(e.to_string())),
             Err(e) => Ok(Err(e.to_string())),
         }
     }
 
     /// Reads one connection; returns why it ended before the last token, if it did.
-    async fn read(&mut self, mut events: EngineStream) -> Result<Option<String>, RelayEnd> {
+    async fn read_connection(
+        &mut self,
+        mut events: EngineStream,
+    ) -> Result<Option<String>, RelayError> {
         loop {
             let event = match events.next().await {
                 Ok(event) => event,
                 Err(e) => return Ok(Some(e.to_string())),
             };
-            match self.take(event).await? {
-                Step::Next => {}
-                Step::Whole => return Ok(None),
-                Step::Reconnect(why) => return Ok(Some(why)),
+            match self.handle_event(event).await? {
+                EventEffect::Continue => {}
+                EventEffect::Complete => return Ok(None),
+                EventEffect::Reconnect(why) => return Ok(Some(why)),
             }
         }
     }
 
-    async fn take(&mut self, event: TokenEvent) -> Result<Step, RelayEnd> {
+    async fn handle_event(&mut self, event: TokenEvent) -> Result<EventEffect, RelayError> {
         if event.stream != self.placement.stream {
             self.traffic.metrics.count("traffic.crossed_event");
-            return Ok(Step::Reconnect("another stream's event came".to_owned()));
+            return Ok(EventEffect::Reconnect(
+                "another stream's event came".to_owned(),
+            ));
         }
-        if event.index < self.progress.next {
-            return Ok(Step::Next);
+        if event.index < self.progress.next_index {
+            return Ok(EventEffect::Continue);
         }
-        if event.index > self.progress.next {
-            return Ok(Step::Reconnect("an event is missing".to_owned()));
+        if event.index > self.progress.next_index {
+            return Ok(EventEffect::Reconnect("an event is missing".to_owned()));
         }
         let last = event.last;
-        self.pass_on(event).await?;
-        Ok(if last { Step::Whole } else { Step::Next })
+        self.forward_token(event).await?;
+        Ok(if last {
+            EventEffect::Complete
+        } else {
+            EventEffect::Continue
+        })
     }
 
     /// Passes one token on to the caller.
-    async fn pass_on(&mut self, event: TokenEvent) -> Result<(), RelayEnd> {
-        if !self.announced {
-            self.announce().await?;
+    async fn forward_token(&mut self, event: TokenEvent) -> Result<(), RelayError> {
+        if !self.is_start_sent {
+            self.send_start().await?;
         }
         let text = TokenText {
             request: self.placement.stream.request,
@@ -169,14 +182,14 @@
             token: event.token.clone(),
         };
         self.sink.send(&CallerEvent::Token(text)).await?;
-        self.progress.next += 1;
+        self.progress.next_index += 1;
         self.progress.tokens.push(event.token);
         Ok(())
     }
 
     /// Gives the caller the attempt's resume token, and tells the owner that the prefill is over.
-    async fn announce(&mut self) -> Result<(), RelayEnd> {
-        self.announced = true;
+    async fn send_start(&mut self) -> Result<(), RelayError> {
+        self.is_start_sent = true;
         self.progress
             .first_token_at
             .get_or_insert_with(Instant::now);
@@ -196,10 +209,10 @@
         self.sink.send(&CallerEvent::Start(start)).await
     }
 
-    async fn finish(&mut self) -> Result<(), RelayEnd> {
+    async fn send_end(&mut self) -> Result<(), RelayError> {
         let end = EndEvent {
             request: self.placement.stream.request,
-            tokens: self.progress.next,
+            tokens: self.progress.next_index,
         };
         self.sink.send(&CallerEvent::End(end)).await
     }
--- a/crates/azuresaddle-node/src/traffic/router.rs
+++ b/crates/azuresaddle-node/src/traffic/router.rs
@@ -29,7 +29,7 @@
         let segments: Vec<&str> = path.trim_matches('/').splitn(4, '/').collect();
         match (method, segments.as_slice()) {
             (Method::POST, ["v1", "generate"]) => traffic.generate(req).await,
-            (Method::GET, ["v1", "answers", id]) => traffic.answer(req, id).await,
+            (Method::GET, ["v1", "answers", id]) => traffic.resume_answer(req, id).await,
             (_, ["v1", "call", service, rest]) => traffic.call(req, service, rest).await,
             (Method::GET, ["v1", "addresses"]) => {
                 let caller = req.headers().get(HEADER_ACCOUNT);
--- a/crates/azuresaddle-node/src/traffic/run_job.rs
+++ b/crates/azuresaddle-node/src/traffic/run_job.rs
@@ -7,7 +7,7 @@
 
 use super::job::Job;
 use super::problems;
-use super::relay::{Progress, Relay, RelayEnd};
+use super::relay::{Progress, Relay, RelayError};
 use super::reserve::Placement;
 use super::sink::CallerSink;
 use super::state::Traffic;
@@ -24,24 +24,24 @@
         let caller = sink.watch();
         let end = tokio::select! {
             end = self.try_targets(&job, &mut sink, &mut progress) => end,
-            () = caller.closed() => Err(RelayEnd::CallerGone),
+            () = caller.closed() => Err(RelayError::CallerGone),
             () = tokio::time::sleep_until(job.deadline) => {
-                Err(RelayEnd::Failed(problems::deadline_passed(Verdict::NotRun)))
+                Err(RelayError::Failed(problems::deadline_passed(Verdict::NotRun)))
             }
         };
         drop(caller);
         let problem = match end {
             Ok(()) => None,
-            Err(RelayEnd::CallerGone | RelayEnd::Displaced) => return,
-            Err(RelayEnd::Target(detail) | RelayEnd::Refused(detail)) => {
+            Err(RelayError::CallerGone | RelayError::Displaced) => return,
+            Err(RelayError::TargetFailed(detail) | RelayError::TargetRefused(detail)) => {
                 Some(problems::target_failed(&detail, progress.verdict()))
             }
-            Err(RelayEnd::Failed(problem)) => {
+            Err(RelayError::Failed(problem)) => {
                 let verdict = problem.verdict.max(progress.verdict());
                 Some(problem.verdict(verdict))
             }
         };
-        self.record(&job, &progress, problem.as_ref());
+        self.record_outcome(&job, &progress, problem.as_ref());
         if let Some(problem) = problem {
             // A caller that does not read is not waited for.
             let patience = self.settings.target_timeout;
@@ -54,38 +54,38 @@
         job: &Job,
         sink: &mut CallerSink,
         progress: &mut Progress,
-    ) -> Result<(), RelayEnd> {
-        let pool = self.choose_pool(job).map_err(RelayEnd::Failed)?;
+    ) -> Result<(), RelayError> {
+        let pool = self.choose_pool(job).map_err(RelayError::Failed)?;
         let mut stream = StreamId::first(job.request);
         let mut exclude = Vec::new();
         loop {
-            let attempt = Attempt::enter(self, &pool, stream);
+            let attempt = Attempt::start(self, &pool, stream);
             let req = job.reserve_request(&pool, stream, &self.settings.name, &exclude);
             let placement = self
                 .reserve(req, job.deadline)
                 .await
-                .map_err(RelayEnd::Failed)?;
+                .map_err(RelayError::Failed)?;
             let end = self.run_attempt(job, &placement, sink, progress).await;
             let failure = match end {
                 Ok(()) => {
-                    attempt.end(Some(ReportKind::Ended(progress.done())));
+                    attempt.end(Some(ReportKind::Ended(progress.completed())));
                     return Ok(());
                 }
-                Err(RelayEnd::Displaced) => {
+                Err(RelayError::Displaced) => {
                     attempt.end(None);
-                    return Err(RelayEnd::Displaced);
+                    return Err(RelayError::Displaced);
                 }
-                Err(RelayEnd::Target(detail)) => {
+                Err(RelayError::TargetFailed(detail)) => {
                     exclude.extend(placement.targets.first().map(|(name, _)| name.clone()));
                     detail
                 }
-                Err(RelayEnd::Refused(detail)) => detail,
+                Err(RelayError::TargetRefused(detail)) => detail,
                 Err(end) => return Err(end),
             };
             attempt.end(None);
-            let out_of_tries = stream.attempt + 1 >= MAX_ATTEMPTS;
-            if out_of_tries || !progress.verdict().may_retry(job.idempotent) {
-                return Err(RelayEnd::Target(failure));
+            let attempts_exhausted = stream.attempt + 1 >= MAX_ATTEMPTS;
+            if attempts_exhausted || !progress.verdict().may_retry(job.idempotent) {
+                return Err(RelayError::TargetFailed(failure));
             }
             tracing::info!("traffic: {stream} failed, trying again: {failure}");
             self.metrics.count("traffic.retry");
@@ -100,17 +100,17 @@
         placement: &Placement,
         sink: &mut CallerSink,
         progress: &mut Progress,
-    ) -> Result<(), RelayEnd> {
+    ) -> Result<(), RelayError> {
         let ran_before = progress.may_have_run;
         progress.may_have_run = true;
         let opened = match self.start_stream(job, placement, &progress.tokens).await {
             Ok(opened) => Some(opened),
             Err(e) if e.verdict() == Verdict::NotRun => {
                 progress.may_have_run = ran_before;
-                self.report(placement, report_of(&e, placement));
+                self.report(placement, report_kind(&e, placement));
                 return Err(match e {
-                    EngineFailure::Refused(_) => RelayEnd::Refused(e.to_string()),
-                    _ => RelayEnd::Target(e.to_string()),
+                    EngineFailure::Refused(_) => RelayError::TargetRefused(e.to_string()),
+                    _ => RelayError::TargetFailed(e.to_string()),
                 });
             }
             // The order may have arrived: what it started is read, not started again.
@@ -122,10 +122,10 @@
             placement,
             sink,
             progress,
-            announced: false,
+            is_start_sent: false,
         };
         let end = relay.run(opened).await;
-        if let Err(RelayEnd::Target(_)) = &end {
+        if let Err(RelayError::TargetFailed(_)) = &end {
             let target_failed = true;
             self.report(placement, ReportKind::Abandoned { target_failed });
         }
@@ -133,7 +133,7 @@
     }
 
     /// Notes what became of a job.
-    fn record(&self, job: &Job, progress: &Progress, problem: Option<&Problem>) {
+    fn record_outcome(&self, job: &Job, progress: &Progress, problem: Option<&Problem>) {
         let now = Instant::now();
         let first_token = progress.first_token_at.map(|at| at - job.arrived);
         if let Some(first_token) = first_token {
@@ -155,7 +155,7 @@
 }
 
 /// What the owner has to know of an order that was not run.
-fn report_of(e: &EngineFailure, placement: &Placement) -> ReportKind {
+fn report_kind(e: &EngineFailure, placement: &Placement) -> ReportKind {
     // Lent memory may be held by the other targets, so only a single target's refusal is final.
     match e {
         EngineFailure::Refused(_) if placement.targets.len() == 1 => {
@@ -175,7 +175,7 @@
 }
 
 impl<'a, N: Network> Attempt<'a, N> {
-    fn enter(traffic: &'a Traffic<N>, pool: &PoolId, stream: StreamId) -> Self {
+    fn start(traffic: &'a Traffic<N>, pool: &PoolId, stream: StreamId) -> Self {
         Self {
             traffic,
             report: Some(Report {
@@ -185,7 +185,7 @@
                     target_failed: false,
                 },
             }),
-            _live: traffic.live.enter(stream, pool),
+            _live: traffic.live_streams.enter(stream, pool),
         }
     }
 
--- a/crates/azuresaddle-node/src/traffic/sink.rs
+++ b/crates/azuresaddle-node/src/traffic/sink.rs
@@ -5,7 +5,7 @@
 use tokio::sync::{mpsc, oneshot};
 
 use super::caller_events::CallerEvent;
-use super::relay::RelayEnd;
+use super::relay::RelayError;
 
 /// Most events that wait for a slow caller; the target is read no faster than the caller reads.
 const MAX_WAITING: usize = 64;
@@ -41,14 +41,14 @@
 
 impl CallerSink {
     /// Sends an event; the first one begins the response.
-    pub(super) async fn send(&mut self, event: &CallerEvent) -> Result<(), RelayEnd> {
+    pub(super) async fn send(&mut self, event: &CallerEvent) -> Result<(), RelayError> {
         if let Some(head) = self.head.take()
             && head.send(Ok(())).is_err()
         {
-            return Err(RelayEnd::CallerGone);
+            return Err(RelayError::CallerGone);
         }
         let sent = self.tx.send(event.to_bytes()).await;
-        sent.map_err(|_| RelayEnd::CallerGone)
+        sent.map_err(|_| RelayError::CallerGone)
     }
 
     /// A handle that tells when the caller has gone away.
--- a/crates/azuresaddle-node/src/traffic/start_stream.rs
+++ b/crates/azuresaddle-node/src/traffic/start_stream.rs
@@ -17,7 +17,7 @@
         placement: &Placement,
         prior: &[String],
     ) -> Result<EngineStream, EngineFailure> {
-        let Some(((_, leader), others)) = placement.targets.split_first() else {
+        let Some(((_, lead), others)) = placement.targets.split_first() else {
             return Err(EngineFailure::Refused("no target was reserved".to_owned()));
         };
         let fence = Fence {
@@ -50,6 +50,6 @@
             members: placement.targets.len() as u32,
             fence,
         };
-        self.engines.start(*leader, &start).await
+        self.engines.start(*lead, &start).await
     }
 }
--- a/crates/azuresaddle-node/src/traffic/state.rs
+++ b/crates/azuresaddle-node/src/traffic/state.rs
@@ -37,9 +37,9 @@
     /// Reports to owners.
     pub reports: ReportSender,
     /// Attempts of this node.
-    pub live: LiveStreams,
-    /// Room for request bodies, in units of [`BUFFER_UNIT`].
-    pub buffer: Arc<Semaphore>,
+    pub live_streams: LiveStreams,
+    /// Room for request bodies, in units of [`BODY_PERMIT_BYTES`].
+    pub body_permits: Arc<Semaphore>,
     /// Tasks on the traffic threads.
     pub spawner: Spawner,
     /// Metrics.
@@ -47,8 +47,8 @@
     /// Service-level counts.
     pub burn: Arc<BurnRecorder>,
     /// Outstanding calls to plain services.
-    pub services: super::call::ServiceLoad,
+    pub service_load: super::call::ServiceLoad,
 }
 
 /// Unit of buffer accounting, in bytes.
-pub const BUFFER_UNIT: usize = 1024;
+pub const BODY_PERMIT_BYTES: usize = 1024;
