--- a/crates/azuresaddle-node/src/traffic/addresses.rs
+++ b/crates/azuresaddle-node/src/traffic/addresses.rs
@@ -13,7 +13,7 @@
 /// Entry hosts in the order in which a caller should try them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct AddressAnswer {
+pub struct AddressReply {
     /// The addresses.
     pub addresses: Vec<EntryAddress>,
     /// How long the answer may be kept, in milliseconds.
@@ -35,7 +35,7 @@
 impl<N: Network> Traffic<N> {
     /// Entry hosts that are not about to stop: those of the caller's failure domain first, then
     /// by a hash of the caller, which spreads callers evenly.
-    pub(super) fn addresses(&self, caller: &str, domain: Option<&str>) -> AddressAnswer {
+    pub(super) fn addresses(&self, caller: &str, domain: Option<&str>) -> AddressReply {
         let snapshot = self.snapshot.load();
         let now_unix_ms = unix_ms();
         let domain = domain.unwrap_or(self.settings.domain.as_str());
@@ -56,7 +56,7 @@
             let is_own = entry.domain.as_str() == domain;
             Reverse((is_own, xxh3_64(text.as_bytes())))
         });
-        AddressAnswer {
+        AddressReply {
             addresses: entries
                 .into_iter()
                 .map(|entry| EntryAddress {
--- a/crates/azuresaddle-node/src/traffic/answers.rs
+++ b/crates/azuresaddle-node/src/traffic/answers.rs
@@ -7,7 +7,7 @@
 use hyper::body::Incoming;
 use hyper::{Request, Response, StatusCode};
 
-use super::headers::{CallerHeaders, HEADER_RESUME_TOKEN, text};
+use super::headers::{CallerHeaders, HEADER_RESUME_TOKEN, header_text};
 use super::problems;
 use super::relay::{Progress, Relay, RelayError};
 use super::reserve::Placement;
@@ -25,7 +25,7 @@
         req: Request<Incoming>,
         id: &str,
     ) -> Result<Response<Body>, Problem> {
-        let headers = CallerHeaders::read(req.headers())?;
+        let headers = CallerHeaders::parse(req.headers())?;
         let request: RequestId = id
             .parse()
             .map_err(|e| Problem::bad_request(format!("bad request id: {e}")))?;
@@ -35,7 +35,7 @@
                 .parse()
                 .map_err(|_| Problem::bad_request("after must be a number of tokens"))?,
         };
-        let token = text(req.headers(), HEADER_RESUME_TOKEN)?
+        let token = header_text(req.headers(), HEADER_RESUME_TOKEN)?
             .and_then(ResumeToken::decode)
             .filter(|token| token.stream.request == request)
             .ok_or_else(|| {
--- a/crates/azuresaddle-node/src/traffic/call.rs
+++ b/crates/azuresaddle-node/src/traffic/call.rs
@@ -15,7 +15,7 @@
 use hyper::{Method, Request, Response, StatusCode};
 use tokio::time::Instant;
 
-use super::generate::Treatment;
+use super::generate::RequestPolicy;
 use super::headers::CallerHeaders;
 use super::problems;
 use super::state::Traffic;
@@ -25,7 +25,7 @@
 const HEADER_REQUEST_ID: &str = "x-request-id";
 
 /// Most hosts that are tried for one call.
-const MAX_HOSTS: usize = 3;
+const MAX_ATTEMPTS: usize = 3;
 
 /// Outstanding calls and breakers of service hosts, as this node sees them.
 #[derive(Debug, Default)]
@@ -41,7 +41,7 @@
 
 impl ServiceLoad {
     /// The allowed host with the fewest outstanding calls; counts the call.
-    fn pick(&self, now: Instant, hosts: &[ServiceHost]) -> Option<ServiceHost> {
+    fn acquire_least_loaded(&self, now: Instant, hosts: &[ServiceHost]) -> Option<ServiceHost> {
         let mut loads = self.lock();
         let allowed = hosts.iter().filter(|host| {
             loads
@@ -54,7 +54,7 @@
         Some(host)
     }
 
-    fn finish(&self, now: Instant, host: &HostName, succeeded: bool) {
+    fn release(&self, now: Instant, host: &HostName, succeeded: bool) {
         let mut loads = self.lock();
         let load = loads.entry(host.clone()).or_default();
         load.outstanding = load.outstanding.saturating_sub(1);
@@ -88,13 +88,13 @@
     ) -> Result<Response<Body>, Problem> {
         let arrived = Instant::now();
         self.check_admission()?;
-        let mut headers = CallerHeaders::read(req.headers())?;
+        let mut headers = CallerHeaders::parse(req.headers())?;
         // A call is taken to be unsafe to repeat unless the caller or a rule says otherwise.
         headers
             .idempotent
             .get_or_insert(req.method() == Method::GET);
         let service = Model::new(service);
-        let treatment = self.treatment(&headers, &service, 0)?;
+        let policy = self.apply_rules(&headers, &service, 0)?;
         let _body_permit = self.acquire_body_permit(req.headers())?;
         let request = RequestId::random();
         let call = Call {
@@ -104,10 +104,10 @@
             content_type: req.headers().get(CONTENT_TYPE).cloned(),
             body: self.read_body(req.into_body()).await?,
         };
-        self.claim_idempotency_key(&headers, request, treatment.deadline)
+        self.claim_idempotency_key(&headers, request, policy.deadline)
             .await?;
-        let deadline = arrived + treatment.deadline;
-        self.send_call(&service, &call, &treatment, deadline).await
+        let deadline = arrived + policy.deadline;
+        self.send_call(&service, &call, &policy, deadline).await
     }
 
     /// Sends a call to one host after another, as long as it is safe to.
@@ -115,19 +115,22 @@
         &self,
         service: &Model,
         call: &Call,
-        treatment: &Treatment,
+        policy: &RequestPolicy,
         deadline: Instant,
     ) -> Result<Response<Body>, Problem> {
         let mut hosts = self.usable_hosts(service)?;
         let mut last = None;
-        for _ in 0..MAX_HOSTS {
-            let Some(host) = self.service_load.pick(Instant::now(), &hosts) else {
+        for _ in 0..MAX_ATTEMPTS {
+            let Some(host) = self
+                .service_load
+                .acquire_least_loaded(Instant::now(), &hosts)
+            else {
                 break;
             };
             hosts.retain(|h| h.name != host.name);
             let sent = self.send_to(host.addr, call, deadline).await;
             self.service_load
-                .finish(Instant::now(), &host.name, sent.is_ok());
+                .release(Instant::now(), &host.name, sent.is_ok());
             let e = match sent {
                 Ok(response) => return Ok(response),
                 Err(e) => e,
@@ -136,7 +139,7 @@
             if Instant::now() >= deadline {
                 return Err(problems::deadline_passed(verdict));
             }
-            if !verdict.may_retry(treatment.idempotent) {
+            if !verdict.may_retry(policy.idempotent) {
                 return Err(problems::target_failed(&e.to_string(), verdict));
             }
             last = Some(e);
--- a/crates/azuresaddle-node/src/traffic/caller_events.rs
+++ b/crates/azuresaddle-node/src/traffic/caller_events.rs
@@ -55,10 +55,10 @@
     /// The event's lines.
     pub fn to_bytes(&self) -> Bytes {
         match self {
-            Self::Start(event) => lines("start", event),
-            Self::Token(event) => lines("token", event),
-            Self::End(event) => lines("end", event),
-            Self::Error(problem) => lines("error", problem),
+            Self::Start(event) => encode_event("start", event),
+            Self::Token(event) => encode_event("token", event),
+            Self::End(event) => encode_event("end", event),
+            Self::Error(problem) => encode_event("error", problem),
         }
     }
 
@@ -74,7 +74,7 @@
     }
 }
 
-fn lines<T: Serialize>(name: &str, data: &T) -> Bytes {
+fn encode_event<T: Serialize>(name: &str, data: &T) -> Bytes {
     let data = serde_json::to_string(data).expect("events serialize");
     Bytes::from(format!("event: {name}\ndata: {data}\n\n"))
 }
--- a/crates/azuresaddle-node/src/traffic/event_reader.rs
+++ b/crates/azuresaddle-node/src/traffic/event_reader.rs
@@ -12,47 +12,48 @@
 #[derive(Debug)]
 pub struct EventReader {
     body: Incoming,
-    silence: Duration,
-    text: String,
-    name: String,
-    ready: VecDeque<CallerEvent>,
+    idle_timeout: Duration,
+    buffer: String,
+    event_name: String,
+    parsed: VecDeque<CallerEvent>,
 }
 
 impl EventReader {
-    /// Reads a response's body; `silence` is the longest wait between two pieces of it.
-    pub fn new(body: Incoming, silence: Duration) -> Self {
+    /// Reads a response's body; `idle_timeout` is the longest wait between two pieces of it.
+    pub fn new(body: Incoming, idle_timeout: Duration) -> Self {
         Self {
             body,
-            silence,
-            text: String::new(),
-            name: String::new(),
-            ready: VecDeque::new(),
+            idle_timeout,
+            buffer: String::new(),
+            event_name: String::new(),
+            parsed: VecDeque::new(),
         }
     }
 
     /// The next event; `None` once the connection has ended, broken or fallen silent.
     pub async fn next(&mut self) -> Option<CallerEvent> {
         loop {
-            if let Some(event) = self.ready.pop_front() {
+            if let Some(event) = self.parsed.pop_front() {
                 return Some(event);
             }
-            let frame = tokio::time::timeout(self.silence, self.body.frame()).await;
+            let frame = tokio::time::timeout(self.idle_timeout, self.body.frame()).await;
             let frame = frame.ok()??.ok()?;
             if let Some(data) = frame.data_ref() {
-                self.text.push_str(&String::from_utf8_lossy(data));
-                self.take_lines();
+                self.buffer.push_str(&String::from_utf8_lossy(data));
+                self.parse_lines();
             }
         }
     }
 
-    fn take_lines(&mut self) {
-        while let Some(end) = self.text.find('\n') {
-            let line: String = self.text.drain(..=end).collect();
+    fn parse_lines(&mut self) {
+        while let Some(end) = self.buffer.find('\n') {
+            let line: String = self.buffer.drain(..=end).collect();
             let line = line.trim_end();
             if let Some(name) = line.strip_prefix("event: ") {
-                name.clone_into(&mut self.name);
+                name.clone_into(&mut self.event_name);
             } else if let Some(data) = line.strip_prefix("data: ") {
-                self.ready.extend(CallerEvent::parse(&self.name, data));
+                self.parsed
+                    .extend(CallerEvent::parse(&self.event_name, data));
             }
         }
     }
--- a/crates/azuresaddle-node/src/traffic/generate.rs
+++ b/crates/azuresaddle-node/src/traffic/generate.rs
@@ -43,8 +43,8 @@
     512
 }
 
-/// Treatment of a request by the rules.
-pub(super) struct Treatment {
+/// What the rules decide for a request.
+pub(super) struct RequestPolicy {
     pub(super) rule: String,
     pub(super) then: Then,
     pub(super) idempotent: bool,
@@ -58,14 +58,14 @@
     ) -> Result<Response<Body>, Problem> {
         let arrived = Instant::now();
         self.check_admission()?;
-        let headers = CallerHeaders::read(req.headers())?;
+        let headers = CallerHeaders::parse(req.headers())?;
         let body_permit = self.acquire_body_permit(req.headers())?;
         let body = self.read_body(req.into_body()).await?;
         let body = parse_body(&body)?;
         self.check_model(&body.model)?;
-        let treatment = self.treatment(&headers, &body.model, prompt_tokens(&body.prompt))?;
+        let policy = self.apply_rules(&headers, &body.model, prompt_tokens(&body.prompt))?;
         let request = RequestId::random();
-        self.claim_idempotency_key(&headers, request, treatment.deadline)
+        self.claim_idempotency_key(&headers, request, policy.deadline)
             .await?;
         let job = Job {
             request,
@@ -74,11 +74,11 @@
             prefix: prefix_hashes(&body.prompt),
             prompt: body.prompt,
             max_tokens: body.max_tokens,
-            idempotent: treatment.idempotent,
-            rule: treatment.rule,
-            then: treatment.then,
+            idempotent: policy.idempotent,
+            rule: policy.rule,
+            then: policy.then,
             arrived,
-            deadline: arrived + treatment.deadline,
+            deadline: arrived + policy.deadline,
             _body_permit: body_permit,
         };
         let (sink, source) = caller_channel();
@@ -142,12 +142,12 @@
     }
 
     /// Applies the rules; a rule that refuses ends the request here.
-    pub(super) fn treatment(
+    pub(super) fn apply_rules(
         &self,
         headers: &CallerHeaders,
         model: &Model,
         prompt_tokens: u64,
-    ) -> Result<Treatment, Problem> {
+    ) -> Result<RequestPolicy, Problem> {
         let snapshot = self.snapshot.load();
         let facts = RequestFacts {
             client_account: headers.account.clone(),
@@ -167,11 +167,13 @@
                 None => problem,
             });
         }
-        let longest = Duration::from_millis(then.deadline_ms);
-        Ok(Treatment {
+        let max_deadline = Duration::from_millis(then.deadline_ms);
+        Ok(RequestPolicy {
             rule: rule.map(|rule| rule.name.clone()).unwrap_or_default(),
             idempotent: then.idempotent.unwrap_or(facts.idempotent),
-            deadline: headers.deadline.map_or(longest, |asked| asked.min(longest)),
+            deadline: headers
+                .deadline
+                .map_or(max_deadline, |asked| asked.min(max_deadline)),
             then,
         })
     }
--- a/crates/azuresaddle-node/src/traffic/headers.rs
+++ b/crates/azuresaddle-node/src/traffic/headers.rs
@@ -35,30 +35,35 @@
 }
 
 impl CallerHeaders {
-    pub(super) fn read(headers: &HeaderMap) -> Result<Self, Problem> {
-        let account = text(headers, HEADER_ACCOUNT)?
+    pub(super) fn parse(headers: &HeaderMap) -> Result<Self, Problem> {
+        let account = header_text(headers, HEADER_ACCOUNT)?
             .filter(|value| !value.is_empty())
             .ok_or_else(|| {
                 Problem::bad_request(format!("the header {HEADER_ACCOUNT} is missing"))
             })?;
-        let idempotent = text(headers, HEADER_IDEMPOTENT)?
+        let idempotent = header_text(headers, HEADER_IDEMPOTENT)?
             .map(parse_bool)
             .transpose()?;
-        let deadline = text(headers, HEADER_DEADLINE_MS)?
+        let deadline = header_text(headers, HEADER_DEADLINE_MS)?
             .map(parse_deadline)
             .transpose()?;
         Ok(Self {
             account: ClientAccount::new(account),
-            kind: text(headers, HEADER_KIND)?.unwrap_or_default().to_owned(),
+            kind: header_text(headers, HEADER_KIND)?
+                .unwrap_or_default()
+                .to_owned(),
             deadline,
             idempotent,
-            idempotency_key: text(headers, HEADER_IDEMPOTENCY_KEY)?.map(str::to_owned),
+            idempotency_key: header_text(headers, HEADER_IDEMPOTENCY_KEY)?.map(str::to_owned),
         })
     }
 }
 
 /// The value of a header, if it is there.
-pub(super) fn text<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, Problem> {
+pub(super) fn header_text<'a>(
+    headers: &'a HeaderMap,
+    name: &str,
+) -> Result<Option<&'a str>, Problem> {
     let Some(value) = headers.get(name) else {
         return Ok(None);
     };
--- a/crates/azuresaddle-node/src/traffic/mod.rs
+++ b/crates/azuresaddle-node/src/traffic/mod.rs
@@ -22,7 +22,7 @@
 mod start_stream;
 mod state;
 
-pub use addresses::{AddressAnswer, EntryAddress};
+pub use addresses::{AddressReply, EntryAddress};
 pub use admin::AdminHandler;
 pub use admin_messages::{BurnReply, ExplainReply, HostRow, PoolRow, PutRules};
 pub use call::ServiceLoad;
--- a/crates/azuresaddle-node/src/traffic/reporter.rs
+++ b/crates/azuresaddle-node/src/traffic/reporter.rs
@@ -12,19 +12,19 @@
 use crate::snapshot::SharedSnapshot;
 
 /// Most reports that wait.
-const MAX_WAITING: usize = 16_384;
+const MAX_QUEUED_REPORTS: usize = 16_384;
 
 /// Most reports in one message.
 const MAX_BATCH: usize = 512;
 
 /// Longest wait for an owner to take reports.
-const TIMEOUT: Duration = Duration::from_secs(1);
+const REPORT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Tries to deliver a batch; after that the owner finds out by the claims in heartbeats.
 const MAX_ATTEMPTS: u32 = 4;
 
 /// Pause between tries.
-const RETRY_PAUSE: Duration = Duration::from_millis(500);
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// Queues reports; cheap to clone.
 #[derive(Clone, Debug)]
@@ -44,16 +44,16 @@
 
 /// Starts the task that sends reports.
 pub fn spawn_reporter<N: Network>(
-    own: HostName,
+    own_name: HostName,
     snapshot: SharedSnapshot,
     control: ControlHandle,
     peers: PeerClients<N>,
     spawner: &Spawner,
 ) -> ReportSender {
-    let (tx, mut rx) = mpsc::channel::<Report>(MAX_WAITING);
+    let (tx, mut rx) = mpsc::channel::<Report>(MAX_QUEUED_REPORTS);
     let tasks = spawner.clone();
     let reporter = Arc::new(Reporter {
-        own,
+        own_name,
         snapshot,
         control,
         peers,
@@ -76,7 +76,7 @@
 }
 
 struct Reporter<N> {
-    own: HostName,
+    own_name: HostName,
     snapshot: SharedSnapshot,
     control: ControlHandle,
     peers: PeerClients<N>,
@@ -88,19 +88,19 @@
         self.control.report(reports.clone()).await;
         for attempt in 0..MAX_ATTEMPTS {
             if attempt > 0 {
-                tokio::time::sleep(RETRY_PAUSE).await;
+                tokio::time::sleep(RETRY_DELAY).await;
             }
             let Some(owner) = self.snapshot.load().owners.get(pool).cloned() else {
                 continue;
             };
-            if owner.owner == self.own {
+            if owner.owner == self.own_name {
                 return;
             }
             let batch = reports.clone();
             let call = async |client: PeerClient, cx| client.report(cx, batch).await;
             if self
                 .peers
-                .call(owner.peer_addr, TIMEOUT, call)
+                .call(owner.peer_addr, REPORT_TIMEOUT, call)
                 .await
                 .is_ok()
             {
--- a/crates/azuresaddle-node/src/traffic/reserve.rs
+++ b/crates/azuresaddle-node/src/traffic/reserve.rs
@@ -20,10 +20,10 @@
 
 /// Time in which a pool gets a new owner while the store can be reached; what can't be placed without
 /// one waits so long.
-const OWNER_WAIT: Duration = Duration::from_secs(15);
+const NEW_OWNER_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// Pause before an owner is asked again.
-const RETRY_PAUSE: Duration = Duration::from_millis(100);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Targets of a reservation with their addresses.
 #[derive(Clone, Debug)]
@@ -63,10 +63,10 @@
             return Ok(pool.clone());
         }
         // No digest yet: a pool that is large enough, of the own failure domain if there is one.
-        let fits = |pool: &&&PoolId| snapshot.hosts.pool_memory(pool) >= memory;
-        let own = |pool: &&&PoolId| pool.domain == self.settings.domain;
-        let fitting = || pools.iter().filter(fits);
-        let pool = fitting().find(own).or_else(|| fitting().next());
+        let is_large_enough = |pool: &&&PoolId| snapshot.hosts.pool_memory(pool) >= memory;
+        let is_own_domain = |pool: &&&PoolId| pool.domain == self.settings.domain;
+        let fitting = || pools.iter().filter(is_large_enough);
+        let pool = fitting().find(is_own_domain).or_else(|| fitting().next());
         pool.map(|pool| (*pool).clone()).ok_or_else(|| {
             Problem::unavailable(
                 "no-pool",
@@ -89,12 +89,13 @@
             let mut reply = self.ask_owner(ask.clone()).await;
             let now = Instant::now();
             if matches!(reply, ReserveReply::NotOwner) {
-                let alone = now - unanswered_since;
-                if alone >= FALLBACK_AFTER {
+                let without_owner = now - unanswered_since;
+                if without_owner >= FALLBACK_AFTER {
                     reply = self.control.fallback(ask).await;
                 }
-                let owner_is_near = self.snapshot.load().store_reachable && alone < OWNER_WAIT;
-                if owner_is_near && matches!(reply, ReserveReply::Refused(_)) {
+                let is_new_owner_due =
+                    self.snapshot.load().store_reachable && without_owner < NEW_OWNER_TIMEOUT;
+                if is_new_owner_due && matches!(reply, ReserveReply::Refused(_)) {
                     reply = ReserveReply::NotOwner;
                 }
             } else {
@@ -102,13 +103,13 @@
             }
             match reply {
                 ReserveReply::Reserved { grant, epoch } => {
-                    return self.locate(&req.pool, grant, epoch);
+                    return self.resolve_targets(&req.pool, grant, epoch);
                 }
                 ReserveReply::Refused(refusal) => {
                     return Err(problems::reservation_refused(&refusal));
                 }
                 ReserveReply::Pending => {}
-                ReserveReply::NotOwner => tokio::time::sleep(RETRY_PAUSE).await,
+                ReserveReply::NotOwner => tokio::time::sleep(RETRY_DELAY).await,
             }
             if Instant::now() >= deadline {
                 return Err(problems::deadline_passed(Verdict::NotRun));
@@ -132,15 +133,15 @@
     }
 
     /// Finds the addresses of a grant's targets.
-    fn locate(
+    fn resolve_targets(
         &self,
         pool: &PoolId,
         grant: azuresaddle_sched::Grant,
         epoch: Epoch,
     ) -> Result<Placement, Problem> {
         let hosts = &self.snapshot.load().hosts;
-        let locate = |name: HostName| hosts.engines.get(&name).map(|e| (name, e.addr));
-        let targets: Option<Vec<_>> = grant.targets.into_iter().map(locate).collect();
+        let with_addr = |name: HostName| hosts.engines.get(&name).map(|e| (name, e.addr));
+        let targets: Option<Vec<_>> = grant.targets.into_iter().map(with_addr).collect();
         let targets = targets.ok_or_else(|| {
             let detail = "a reserved target is not in the host list any more";
             Problem::unavailable("no-target", detail, problems::TRANSIENT_RETRY_AFTER)
--- a/crates/azuresaddle-node/src/traffic/respond.rs
+++ b/crates/azuresaddle-node/src/traffic/respond.rs
@@ -19,22 +19,22 @@
 /// Time within which the response begins, and interval of comment lines while no event is ready.
 ///
 /// A caller can so tell a node that waits for its turn from one that has fallen silent.
-const KEEP_ALIVE: Duration = Duration::from_secs(1);
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// A server-sent comment line, which callers ignore.
-const COMMENT: &[u8] = b": waiting\n\n";
+const KEEP_ALIVE_COMMENT: &[u8] = b": waiting\n\n";
 
 /// Responds with the failure if it comes at once, or with a stream of events.
 pub(super) async fn respond(mut source: CallerSource) -> Result<Response<Body>, Problem> {
     let head = match &mut source.head {
-        Some(head) => tokio::time::timeout(KEEP_ALIVE, head).await.ok(),
+        Some(head) => tokio::time::timeout(KEEP_ALIVE_INTERVAL, head).await.ok(),
         None => None,
     };
-    if let Some(decided) = head {
+    if let Some(head_result) = head {
         source.head = None;
-        began(decided)?;
+        check_head(head_result)?;
     }
-    let body = StreamBody::new(events(source).map(|bytes| Ok(Frame::data(bytes))));
+    let body = StreamBody::new(event_stream(source).map(|bytes| Ok(Frame::data(bytes))));
     Ok(Response::builder()
         .header(CONTENT_TYPE, "text/event-stream")
         .header(CACHE_CONTROL, "no-store")
@@ -43,19 +43,21 @@
 }
 
 /// What is known of the beginning of an answer.
-fn began(decided: Result<Result<(), Problem>, oneshot::error::RecvError>) -> Result<(), Problem> {
-    decided.unwrap_or_else(|_| {
+fn check_head(
+    head_result: Result<Result<(), Problem>, oneshot::error::RecvError>,
+) -> Result<(), Problem> {
+    head_result.unwrap_or_else(|_| {
         let detail = "the relay ended without an answer";
         Err(problems::target_failed(detail, Verdict::MayHaveRun))
     })
 }
 
 /// The events of an answer, with comments in between.
-fn events(source: CallerSource) -> impl Stream<Item = Bytes> + Send + Sync {
+fn event_stream(source: CallerSource) -> impl Stream<Item = Bytes> + Send + Sync {
     futures::stream::unfold(Some(source), |source| async move {
         let mut source = source?;
-        match tokio::time::timeout(KEEP_ALIVE, next(&mut source)).await {
-            Err(_) => Some((Bytes::from_static(COMMENT), Some(source))),
+        match tokio::time::timeout(KEEP_ALIVE_INTERVAL, next_event(&mut source)).await {
+            Err(_) => Some((Bytes::from_static(KEEP_ALIVE_COMMENT), Some(source))),
             Ok(Ok(bytes)) => bytes.map(|bytes| (bytes, Some(source))),
             Ok(Err(problem)) => Some((CallerEvent::Error(problem).to_bytes(), None)),
         }
@@ -63,11 +65,11 @@
 }
 
 /// The next event; `None` after the last one.
-async fn next(source: &mut CallerSource) -> Result<Option<Bytes>, Problem> {
+async fn next_event(source: &mut CallerSource) -> Result<Option<Bytes>, Problem> {
     if let Some(head) = &mut source.head {
-        let decided = head.await;
+        let head_result = head.await;
         source.head = None;
-        began(decided)?;
+        check_head(head_result)?;
     }
     Ok(source.rx.recv().await)
 }
--- a/crates/azuresaddle-node/src/traffic/sink.rs
+++ b/crates/azuresaddle-node/src/traffic/sink.rs
@@ -8,7 +8,7 @@
 use super::relay::RelayError;
 
 /// Most events that wait for a slow caller; the target is read no faster than the caller reads.
-const MAX_WAITING: usize = 64;
+const MAX_QUEUED_EVENTS: usize = 64;
 
 /// The sending end towards a caller.
 pub(super) struct CallerSink {
@@ -27,7 +27,7 @@
 /// Makes both ends.
 pub(super) fn caller_channel() -> (CallerSink, CallerSource) {
     let (head_tx, head) = oneshot::channel();
-    let (tx, rx) = mpsc::channel(MAX_WAITING);
+    let (tx, rx) = mpsc::channel(MAX_QUEUED_EVENTS);
     let sink = CallerSink {
         head: Some(head_tx),
         tx,
--- a/crates/azuresaddle-standin/src/load/address_book.rs
+++ b/crates/azuresaddle-standin/src/load/address_book.rs
@@ -5,7 +5,7 @@
 
 use azuresaddle_core::http::HttpClient;
 use azuresaddle_core::prelude::*;
-use azuresaddle_node::traffic::{AddressAnswer, HEADER_ACCOUNT};
+use azuresaddle_node::traffic::{AddressReply, HEADER_ACCOUNT};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper::Request;
@@ -68,7 +68,7 @@
     http: &HttpClient<N>,
     addr: SocketAddr,
     account: &ClientAccount,
-) -> Option<AddressAnswer> {
+) -> Option<AddressReply> {
     let req = Request::get("/v1/addresses")
         .header(HEADER_ACCOUNT, account.as_str())
         .body(Full::<Bytes>::default())
