--- a/crates/azuresaddle-node/src/traffic/addresses.rs
+++ b/crates/azuresaddle-node/src/traffic/addresses.rs
@@ -1,4 +1,4 @@
-//! `GET /v1/addresses`: which address to use.
+//! `GET /v1/addresses`: the entry hosts that a caller should use.
 
 use std::cmp::Reverse;
 use std::net::SocketAddr;
@@ -14,9 +14,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct AddressReply {
-    /// The addresses.
+    /// Entry hosts, the preferred one first.
     pub addresses: Vec<EntryAddress>,
-    /// How long the answer may be kept, in milliseconds.
+    /// How long the caller may cache the reply, in milliseconds.
     pub time_to_live_ms: u64,
 }
 
@@ -33,8 +33,10 @@
 }
 
 impl<N: Network> Traffic<N> {
-    /// Entry hosts that are not about to stop: those of the caller's failure domain first, then
-    /// by a hash of the caller, which spreads callers evenly.
+    /// Lists the entry hosts that are not about to stop: those of the caller's failure domain
+    /// first, and within that ordered by a hash of caller and host, which spreads callers evenly.
+    ///
+    /// Without `domain`, the failure domain of this node is used.
     pub(super) fn addresses(&self, caller: &str, domain: Option<&str>) -> AddressReply {
         let snapshot = self.snapshot.load();
         let now_unix_ms = unix_ms();
--- a/crates/azuresaddle-node/src/traffic/admin.rs
+++ b/crates/azuresaddle-node/src/traffic/admin.rs
@@ -18,16 +18,16 @@
 use super::state::Traffic;
 use crate::peer::PeerClient;
 
-/// Longest body of an operator's request; the store takes values of up to a megabyte.
+/// Maximum body of an operator's request in bytes; the store accepts values of up to a megabyte.
 const MAX_BODY_BYTES: usize = 900 << 10;
 
-/// Handles the operators' interface.
+/// HTTP handler of the operators' interface.
 pub struct AdminHandler<N> {
     traffic: Arc<Traffic<N>>,
 }
 
 impl<N: Network> AdminHandler<N> {
-    /// A handler on shared state.
+    /// Creates a handler that uses the shared state.
     pub fn new(traffic: Arc<Traffic<N>>) -> Self {
         Self { traffic }
     }
@@ -218,7 +218,7 @@
         snapshot.hosts.pools.iter().map(row).collect()
     }
 
-    /// Collects the counts of all nodes.
+    /// Merges the service-level counts of all nodes that answer in time.
     async fn burn(&self) -> BurnReply {
         let traffic = &self.traffic;
         let hosts = Arc::clone(&traffic.snapshot.load().hosts);
--- a/crates/azuresaddle-node/src/traffic/admin_messages.rs
+++ b/crates/azuresaddle-node/src/traffic/admin_messages.rs
@@ -6,30 +6,30 @@
 use azuresaddle_sched::PoolDigest;
 use serde::{Deserialize, Serialize};
 
-/// A change of the rules.
+/// Request to replace the rules.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct PutRules {
-    /// Version that the change is based on.
+    /// Version that the change is based on; a different stored version is a conflict.
     pub base: RulesVersion,
-    /// What the operator says of the change.
+    /// The operator's comment on the change.
     #[serde(default)]
     pub comment: String,
     /// The new document.
     pub document: RulesDocument,
 }
 
-/// What the rules in force say of a request.
+/// How the current rules match a request.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct ExplainReply {
     /// Version of the rules.
     pub version: RulesVersion,
-    /// What each rule says, in order.
+    /// The outcome of each rule, in order.
     pub rules: Vec<Explanation>,
 }
 
-/// One host as a node sees it.
+/// One host in the view of the answering node.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct HostRow {
@@ -39,13 +39,13 @@
     pub domain: FailureDomain,
     /// `entry`, `engine` or `service`.
     pub kind: String,
-    /// Whether the platform's list has it as leaving.
+    /// Whether the platform's host list marks it as leaving.
     pub leaving: bool,
-    /// Whether a planned stop of it has begun.
+    /// Whether a planned stop of the host has begun.
     pub stopping: bool,
 }
 
-/// One pool as a node sees it.
+/// One pool in the view of the answering node.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct PoolRow {
@@ -53,20 +53,20 @@
     pub pool: String,
     /// The owner, if any is known.
     pub owner: Option<HostName>,
-    /// Fencing number of the ownership.
+    /// Epoch of the ownership, used as fencing number.
     pub epoch: Epoch,
     /// Number of targets.
     pub targets: usize,
-    /// The latest digest, if any came.
+    /// The latest digest, if one was received.
     pub digest: Option<PoolDigest>,
 }
 
-/// Burn of all nodes that answered.
+/// Error-budget burn of all nodes that answered.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct BurnReply {
-    /// Merged counts.
+    /// Service-level counts, merged over the nodes.
     pub counts: BurnCounts,
-    /// Nodes that did not answer, so that their requests are missing.
+    /// Nodes that did not answer; their requests are not counted.
     pub missing: Vec<HostName>,
 }
--- a/crates/azuresaddle-node/src/traffic/answers.rs
+++ b/crates/azuresaddle-node/src/traffic/answers.rs
@@ -1,4 +1,4 @@
-//! `GET /v1/answers/{id}?after=N`: goes on with an answer that another node began.
+//! `GET /v1/answers/{id}?after=N`: continues an answer that another node began.
 
 use std::sync::Arc;
 
@@ -74,7 +74,7 @@
         })
     }
 
-    /// Reads the stream in place of the node that read it before.
+    /// Opens the stream at token `after`, displacing the node that read it before.
     async fn take_over(&self, placement: &Placement, after: u64) -> Result<EngineStream, Problem> {
         let own = &self.settings.name;
         self.report_take_over(placement);
@@ -88,7 +88,8 @@
             })
     }
 
-    /// Tells the owner, so that it does not cancel the stream with the node that vanished.
+    /// Tells the pool's owner that this node now reads the stream, so that the owner does not
+    /// cancel it when the previous node is found to have failed.
     fn report_take_over(&self, placement: &Placement) {
         let take_over = TakeOver {
             pool: placement.pool.clone(),
@@ -104,7 +105,7 @@
             match owner {
                 Some(owner) if owner.owner != own => {
                     let call = async |client: PeerClient, cx| client.take_over(cx, take_over).await;
-                    // Should this be lost, the next heartbeat claims the stream.
+                    // If this message is lost, the next heartbeat claims the stream.
                     let _ = peers.call(owner.peer_addr, timeout, call).await;
                 }
                 _ => control.take_over(take_over).await,
@@ -157,7 +158,7 @@
     }
 }
 
-/// The problem of an answer that can't be gone on with; the caller may ask anew.
+/// The problem for an answer that can't be resumed; the caller may send a new request.
 fn answer_lost(why: &str) -> Problem {
     let detail = format!("the answer can't be resumed: {why}");
     Problem::not_run(StatusCode::GONE, "answer-lost", detail).verdict(Verdict::MayHaveRun)
--- a/crates/azuresaddle-node/src/traffic/call.rs
+++ b/crates/azuresaddle-node/src/traffic/call.rs
@@ -1,4 +1,4 @@
-//! `POST /v1/call/{service}/{path}`: one call to a plain service.
+//! `/v1/call/{service}/{path}`, any method: forwards a call to a plain service.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -21,13 +21,13 @@
 use super::state::Traffic;
 use crate::snapshot::ServiceHost;
 
-/// Header with the request's id towards a service.
+/// Header that gives a service the id of the request.
 const HEADER_REQUEST_ID: &str = "x-request-id";
 
-/// Most hosts that are tried for one call.
+/// Maximum number of hosts tried for one call.
 const MAX_ATTEMPTS: usize = 3;
 
-/// Outstanding calls and breakers of service hosts, as this node sees them.
+/// Outstanding calls and circuit breakers of service hosts, for the calls of this node.
 #[derive(Debug, Default)]
 pub struct ServiceLoad {
     hosts: Mutex<HashMap<HostName, HostLoad>>,
@@ -40,7 +40,8 @@
 }
 
 impl ServiceLoad {
-    /// The allowed host with the fewest outstanding calls; counts the call.
+    /// Counts a call on the host with the fewest outstanding calls, among those whose breaker
+    /// allows another, and returns that host.
     fn acquire_least_loaded(&self, now: Instant, hosts: &[ServiceHost]) -> Option<ServiceHost> {
         let mut loads = self.lock();
         let allowed = hosts.iter().filter(|host| {
@@ -54,6 +55,7 @@
         Some(host)
     }
 
+    /// Ends a counted call and records its result in the host's breaker.
     fn release(&self, now: Instant, host: &HostName, succeeded: bool) {
         let mut loads = self.lock();
         let load = loads.entry(host.clone()).or_default();
@@ -70,7 +72,7 @@
     }
 }
 
-/// A call, ready to be sent.
+/// A call to forward.
 struct Call {
     request: RequestId,
     method: Method,
@@ -89,7 +91,7 @@
         let arrived = Instant::now();
         self.check_admission()?;
         let mut headers = CallerHeaders::parse(req.headers())?;
-        // A call is taken to be unsafe to repeat unless the caller or a rule says otherwise.
+        // Only a GET counts as idempotent unless the caller or a rule says otherwise.
         headers
             .idempotent
             .get_or_insert(req.method() == Method::GET);
@@ -110,7 +112,7 @@
         self.send_call(&service, &call, &policy, deadline).await
     }
 
-    /// Sends a call to one host after another, as long as it is safe to.
+    /// Sends a call to one host after another while a retry is safe.
     async fn send_call(
         &self,
         service: &Model,
--- a/crates/azuresaddle-node/src/traffic/caller_events.rs
+++ b/crates/azuresaddle-node/src/traffic/caller_events.rs
@@ -1,18 +1,19 @@
-//! Server-sent events towards callers.
+//! Server-sent events for callers.
 //!
-//! An answer is one `start` event, `token` events in order, and one `end` or `error` event.
+//! An answer consists of a `start` event, `token` events in order, and an `end` or `error` event.
+//! Another `start` event follows when the answer continues with a new attempt.
 
 use azuresaddle_core::prelude::*;
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
-/// First event of an answer.
+/// Event before the first token of an attempt or of a resumed answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct StartEvent {
     /// The request.
     pub request: RequestId,
-    /// Send this to any node to go on with the answer.
+    /// Token with which the caller can continue the answer at any node.
     pub resume_token: String,
 }
 
@@ -22,37 +23,37 @@
 pub struct TokenText {
     /// The request.
     pub request: RequestId,
-    /// Position in the answer, from 0.
+    /// Position in the answer, counted from 0.
     pub index: u64,
     /// Text of the token.
     pub token: String,
 }
 
-/// Last event of a whole answer.
+/// Last event of a complete answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct EndEvent {
     /// The request.
     pub request: RequestId,
-    /// Number of tokens of the whole answer.
+    /// Number of tokens in the complete answer.
     pub tokens: u64,
 }
 
-/// An event towards a caller.
+/// An event sent to a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallerEvent {
-    /// The answer begins, or goes on after a resume.
+    /// The answer begins, or continues with another attempt or after a resume.
     Start(StartEvent),
     /// One token.
     Token(TokenText),
-    /// The answer is whole.
+    /// The answer is complete.
     End(EndEvent),
-    /// The answer stays incomplete.
+    /// The request failed; the answer stays incomplete.
     Error(Problem),
 }
 
 impl CallerEvent {
-    /// The event's lines.
+    /// Encodes the event as the lines of a server-sent event.
     pub fn to_bytes(&self) -> Bytes {
         match self {
             Self::Start(event) => encode_event("start", event),
@@ -62,7 +63,8 @@
         }
     }
 
-    /// Reads an event from its name and data; `None` for what is no event of an answer.
+    /// Parses an event from its name and data; returns `None` for an unknown name or malformed
+    /// data.
     pub fn parse(name: &str, data: &str) -> Option<Self> {
         match name {
             "start" => serde_json::from_str(data).ok().map(Self::Start),
--- a/crates/azuresaddle-node/src/traffic/event_reader.rs
+++ b/crates/azuresaddle-node/src/traffic/event_reader.rs
@@ -1,4 +1,4 @@
-//! Reads the server-sent events of an answer.
+//! Client-side reader of the server-sent events of an answer.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -8,18 +8,22 @@
 
 use super::caller_events::CallerEvent;
 
-/// Reads caller events from a response.
+/// Reads the caller events of a response.
 #[derive(Debug)]
 pub struct EventReader {
     body: Incoming,
     idle_timeout: Duration,
+    /// Text that was received after the last complete line.
     buffer: String,
+    /// Name from the latest `event:` line.
     event_name: String,
+    /// Events that were parsed and not yet returned.
     parsed: VecDeque<CallerEvent>,
 }
 
 impl EventReader {
-    /// Reads a response's body; `idle_timeout` is the longest wait between two pieces of it.
+    /// Creates a reader of a response's body; `idle_timeout` is the maximum wait for its next
+    /// frame.
     pub fn new(body: Incoming, idle_timeout: Duration) -> Self {
         Self {
             body,
@@ -30,7 +34,8 @@
         }
     }
 
-    /// The next event; `None` once the connection has ended, broken or fallen silent.
+    /// Waits for the next event; returns `None` once the connection has ended, broken or been idle
+    /// for the timeout.
     pub async fn next(&mut self) -> Option<CallerEvent> {
         loop {
             if let Some(event) = self.parsed.pop_front() {
--- a/crates/azuresaddle-node/src/traffic/generate.rs
+++ b/crates/azuresaddle-node/src/traffic/generate.rs
@@ -1,4 +1,4 @@
-//! `POST /v1/generate`: one answer as server-sent events.
+//! `POST /v1/generate`: generates an answer and streams it as server-sent events.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,10 +23,10 @@
 use super::sink::caller_channel;
 use super::state::{BODY_PERMIT_BYTES, Traffic};
 
-/// Most tokens of an answer.
+/// Maximum number of tokens in an answer.
 const MAX_ANSWER_TOKENS: u64 = 100_000;
 
-/// Body of a request for an answer.
+/// Body of a request to `POST /v1/generate`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct GenerateBody {
@@ -34,7 +34,7 @@
     pub model: Model,
     /// The prompt.
     pub prompt: String,
-    /// Most tokens of the answer, from 1 to 100000.
+    /// Maximum number of tokens in the answer, from 1 to 100000.
     #[serde(default = "default_max_tokens")]
     pub max_tokens: u64,
 }
@@ -45,9 +45,11 @@
 
 /// What the rules decide for a request.
 pub(super) struct RequestPolicy {
+    /// Name of the matching rule; empty if none matched.
     pub(super) rule: String,
     pub(super) then: Then,
     pub(super) idempotent: bool,
+    /// Counted from the arrival of the request.
     pub(super) deadline: Duration,
 }
 
@@ -88,7 +90,7 @@
         respond(source).await
     }
 
-    /// Refuses while the node takes no new requests.
+    /// Fails while the node takes no new requests.
     pub(super) fn check_admission(&self) -> Result<(), Problem> {
         match problems::not_admitting(self.snapshot.load().admission) {
             None => Ok(()),
@@ -96,7 +98,8 @@
         }
     }
 
-    /// Takes room for a body before it is read.
+    /// Reserves memory for a body before it is read: the declared length, or the maximum if none is
+    /// declared.
     pub(super) fn acquire_body_permit(
         &self,
         headers: &HeaderMap,
@@ -141,7 +144,8 @@
         ))
     }
 
-    /// Applies the rules; a rule that refuses ends the request here.
+    /// Applies the first matching rule, or the defaults if none matches; fails if the rule refuses
+    /// the request.
     pub(super) fn apply_rules(
         &self,
         headers: &CallerHeaders,
@@ -178,7 +182,8 @@
         })
     }
 
-    /// Claims the request's idempotency key, if it has one.
+    /// Claims the request's idempotency key, if it has one; fails if the key is in use or the claim
+    /// can't be made.
     pub(super) async fn claim_idempotency_key(
         &self,
         headers: &CallerHeaders,
@@ -208,10 +213,10 @@
     }
 }
 
-/// Longest wait for a claim.
+/// Maximum wait for a claim.
 const CLAIM_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// When to come back after a claim failed.
+/// Retry delay given to callers after a failed claim.
 const CLAIM_RETRY_AFTER: Duration = Duration::from_secs(5);
 
 fn parse_body(bytes: &[u8]) -> Result<GenerateBody, Problem> {
--- a/crates/azuresaddle-node/src/traffic/headers.rs
+++ b/crates/azuresaddle-node/src/traffic/headers.rs
@@ -7,24 +7,24 @@
 
 /// Name of the client account; required.
 pub const HEADER_ACCOUNT: &str = "x-client-account";
-/// Longest time that the caller waits, in milliseconds; the rule's deadline caps it.
+/// Maximum time that the caller waits, in milliseconds; limited by the matching rule's deadline.
 pub const HEADER_DEADLINE_MS: &str = "x-deadline-ms";
-/// Kind of the request, for rules.
+/// Kind of the request, which rules can match.
 pub const HEADER_KIND: &str = "x-request-kind";
-/// Whether the request may run more than once, `true` or `false`.
+/// Whether the request may run more than once: `true` or `false`.
 pub const HEADER_IDEMPOTENT: &str = "x-idempotent";
-/// Key under which at most one request of the account runs.
+/// Idempotency key; at most one request of the account runs under it.
 pub const HEADER_IDEMPOTENCY_KEY: &str = "idempotency-key";
-/// Token of the first event of an answer, to go on with it.
+/// Resume token from the start event of an answer, which lets the caller continue that answer.
 pub const HEADER_RESUME_TOKEN: &str = "x-resume-token";
 
-/// Longest account name, kind or key, in bytes.
+/// Maximum length of a header value in bytes; resume tokens are exempt.
 const MAX_VALUE_BYTES: usize = 256;
 
-/// Longest deadline that a caller may ask for, one day.
+/// Maximum deadline that a caller may request: one day.
 const MAX_DEADLINE_MS: u64 = 24 * 60 * 60 * 1000;
 
-/// Headers of a request, checked.
+/// Validated headers of a request.
 #[derive(Clone, Debug)]
 pub(super) struct CallerHeaders {
     pub(super) account: ClientAccount,
@@ -59,7 +59,8 @@
     }
 }
 
-/// The value of a header, if it is there.
+/// Returns the value of a header, or `None` if it is absent; fails if the value is not ASCII text
+/// or is too long.
 pub(super) fn header_text<'a>(
     headers: &'a HeaderMap,
     name: &str,
--- a/crates/azuresaddle-node/src/traffic/job.rs
+++ b/crates/azuresaddle-node/src/traffic/job.rs
@@ -9,20 +9,22 @@
 
 use crate::peer::ReserveRequest;
 
-/// Everything that the relay of an answer needs to know.
+/// What it takes to run an admitted request and relay its answer.
 pub(super) struct Job {
     pub(super) request: RequestId,
     pub(super) account: ClientAccount,
     pub(super) model: Model,
     pub(super) prompt: String,
+    /// Hashes of the prompt's leading blocks, for prefix cache lookups.
     pub(super) prefix: Vec<u64>,
     pub(super) max_tokens: u64,
     pub(super) idempotent: bool,
+    /// Name of the matching rule; empty if none matched.
     pub(super) rule: String,
     pub(super) then: Then,
     pub(super) arrived: Instant,
     pub(super) deadline: Instant,
-    /// Room for the prompt, given back with the job.
+    /// Memory reserved for the body; released when the job is dropped.
     pub(super) _body_permit: OwnedSemaphorePermit,
 }
 
@@ -31,13 +33,13 @@
         prompt_tokens(&self.prompt)
     }
 
-    /// First-token target, counted from the arrival.
+    /// The rule's target for the time from arrival to the first token.
     pub(super) fn first_token_target(&self) -> Duration {
         Duration::from_millis(self.then.first_token_target_ms)
     }
 
-    /// Time to the first token within which the target is met: the rule's, and the prefill on an
-    /// idle engine at `rate` tokens a second.
+    /// Maximum time to the first token that meets the target: the rule's target plus the prefill
+    /// time on an idle engine at `rate` tokens per second.
     pub(super) fn first_token_limit(&self, rate: f64) -> Duration {
         self.first_token_target() + Duration::from_secs_f64(self.prompt_tokens() as f64 / rate)
     }
--- a/crates/azuresaddle-node/src/traffic/mod.rs
+++ b/crates/azuresaddle-node/src/traffic/mod.rs
@@ -1,4 +1,5 @@
-//! Traffic of a node: callers' requests from admission to the last token.
+//! Handles callers' requests on a node, from admission to the last token, and the operators'
+//! interface.
 
 mod addresses;
 mod admin;
--- a/crates/azuresaddle-node/src/traffic/problems.rs
+++ b/crates/azuresaddle-node/src/traffic/problems.rs
@@ -1,4 +1,4 @@
-//! Problems that several parts of traffic report.
+//! Error answers that several handlers share.
 
 use std::time::Duration;
 
@@ -9,10 +9,10 @@
 
 use crate::snapshot::Admission;
 
-/// When to come back after a failure that usually passes quickly.
+/// Retry delay given to callers after a failure that is usually short.
 pub(super) const TRANSIENT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// The problem of a node that takes no new requests.
+/// Returns the problem to answer with while the node takes no new requests.
 pub(super) fn not_admitting(admission: Admission) -> Option<Problem> {
     let detail = match admission {
         Admission::Open => return None,
--- a/crates/azuresaddle-node/src/traffic/relay.rs
+++ b/crates/azuresaddle-node/src/traffic/relay.rs
@@ -1,4 +1,4 @@
-//! Relays one stream of a target to a caller.
+//! Relays a stream from a target to a caller.
 
 use azuresaddle_core::prelude::*;
 use azuresaddle_sched::Outcome;
@@ -13,15 +13,15 @@
 use crate::engine::{EngineFailure, EngineStream};
 use crate::peer::{Report, ReportKind};
 
-/// Connections that are opened in a row to go on with a stream before its target is given up.
+/// Maximum number of consecutive reconnects without a new token before the target counts as failed.
 const MAX_RECONNECTS: u32 = 3;
 
-/// How far an answer is.
+/// Progress of an answer.
 #[derive(Debug, Default)]
 pub(super) struct Progress {
-    /// Tokens that the caller has from this node.
+    /// Tokens that this node has sent to the caller.
     pub(super) tokens: Vec<String>,
-    /// Index of the next token.
+    /// Index of the next token to send.
     pub(super) next_index: u64,
     pub(super) first_token_at: Option<Instant>,
     /// Whether a target may have started the request.
@@ -29,13 +29,13 @@
 }
 
 impl Progress {
-    /// The outcome of a whole answer.
+    /// The outcome of a complete answer, with its number of tokens.
     pub(super) fn completed(&self) -> Outcome {
         let tokens = u32::try_from(self.next_index).unwrap_or(u32::MAX);
         Outcome::Done { tokens }
     }
 
-    /// What is known of the request's execution.
+    /// What is known about the execution of the request.
     pub(super) fn verdict(&self) -> Verdict {
         if self.may_have_run {
             Verdict::MayHaveRun
@@ -45,45 +45,46 @@
     }
 }
 
-/// Why a relay ended without a whole answer.
+/// Why a relay ended without a complete answer.
 #[derive(Debug)]
 pub(super) enum RelayError {
-    /// The caller has gone away.
+    /// The caller has disconnected.
     CallerGone,
-    /// The caller goes on through another node.
+    /// Another node has taken over the stream.
     Displaced,
-    /// The target failed; another one may do.
+    /// The target failed; another one may succeed.
     TargetFailed(String),
-    /// The target did not take the request, but is not at fault; the same one may do later.
+    /// The target refused the request without having failed; the same one may accept it later.
     TargetRefused(String),
-    /// The answer can't be finished.
+    /// The request ends with this problem and is not retried.
     Failed(Problem),
 }
 
-/// What one event did to the relay.
+/// What the relay does after an event.
 enum EventEffect {
     Continue,
     Complete,
-    /// The connection can't be trusted any more; a new one may do.
+    /// The connection delivered a wrong event or skipped one, for the given reason; read on from a
+    /// new one.
     Reconnect(String),
 }
 
-/// A relay of one attempt.
+/// Relays one attempt.
 pub(super) struct Relay<'a, N> {
     pub(super) traffic: &'a Traffic<N>,
     pub(super) account: &'a ClientAccount,
     pub(super) placement: &'a Placement,
     pub(super) sink: &'a mut CallerSink,
     pub(super) progress: &'a mut Progress,
-    /// Whether the caller has this attempt's resume token.
+    /// Whether the start event, with this attempt's resume token, was sent.
     pub(super) is_start_sent: bool,
 }
 
 impl<N: Network> Relay<'_, N> {
-    /// Reads the stream to its end over as many connections as it takes.
+    /// Reads the stream to its end, reconnecting when a connection breaks.
     ///
-    /// Every event is checked: another stream's is never passed on, a doubled one is dropped, and
-    /// after a missing one the stream is read again from there.
+    /// Every event is checked: an event of another stream is never forwarded, a duplicate is
+    /// dropped, and after a gap the stream is read again from the missing event.
     pub(super) async fn run(&mut self, mut opened: Option<EngineStream>) -> Result<(), RelayError> {
         let mut failure = String::new();
         let mut reconnects = 0;
@@ -112,7 +113,7 @@
         }
     }
 
-    /// Opens a connection at the next token; the inner error is worth another try.
+    /// Opens a connection at the next token. After the inner error, reconnecting may still succeed.
     async fn reconnect(&self) -> Result<Result<EngineStream, String>, RelayError> {
         let Some((_, lead)) = self.placement.targets.first() else {
             return Err(RelayError::TargetFailed(
@@ -131,7 +132,7 @@
         }
     }
 
-    /// Reads one connection; returns why it ended before the last token, if it did.
+    /// Reads one connection to its end; returns the reason if it ended before the last token.
     async fn read_connection(
         &mut self,
         mut events: EngineStream,
@@ -171,7 +172,7 @@
         })
     }
 
-    /// Passes one token on to the caller.
+    /// Forwards a token to the caller, after the start event if that was not sent yet.
     async fn forward_token(&mut self, event: TokenEvent) -> Result<(), RelayError> {
         if !self.is_start_sent {
             self.send_start().await?;
@@ -187,7 +188,8 @@
         Ok(())
     }
 
-    /// Gives the caller the attempt's resume token, and tells the owner that the prefill is over.
+    /// Sends the caller the attempt's resume token, and reports to the owner that the prefill is
+    /// over.
     async fn send_start(&mut self) -> Result<(), RelayError> {
         self.is_start_sent = true;
         self.progress
@@ -219,7 +221,7 @@
 }
 
 impl<N: Network> Traffic<N> {
-    /// Queues a report to the owner.
+    /// Queues a report to the owner of the placement's pool.
     pub(super) fn report(&self, placement: &Placement, kind: ReportKind) {
         self.reports.send(Report {
             pool: placement.pool.clone(),
--- a/crates/azuresaddle-node/src/traffic/reporter.rs
+++ b/crates/azuresaddle-node/src/traffic/reporter.rs
@@ -1,4 +1,4 @@
-//! Sends reports to the owners of pools, in batches.
+//! Sends reports about streams to the owners of pools, in batches.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -11,38 +11,39 @@
 use crate::peer::{PeerClient, PeerClients, Report};
 use crate::snapshot::SharedSnapshot;
 
-/// Most reports that wait.
+/// Maximum number of queued reports.
 const MAX_QUEUED_REPORTS: usize = 16_384;
 
-/// Most reports in one message.
+/// Maximum number of reports taken from the queue at once, and so in one message.
 const MAX_BATCH: usize = 512;
 
-/// Longest wait for an owner to take reports.
+/// Maximum wait for an owner's answer to a batch.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Tries to deliver a batch; after that the owner finds out by the claims in heartbeats.
+/// Maximum number of attempts to deliver a batch; after that the owner learns of ended streams from
+/// heartbeats, which no longer claim them.
 const MAX_ATTEMPTS: u32 = 4;
 
-/// Pause between tries.
+/// Delay between attempts.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Queues reports; cheap to clone.
+/// Queues reports for delivery; cheap to clone.
 #[derive(Clone, Debug)]
 pub struct ReportSender {
     tx: mpsc::Sender<Report>,
 }
 
 impl ReportSender {
-    /// Queues a report. One that finds the queue full is dropped: the owner then learns of the
-    /// end by the missing claim.
+    /// Queues a report, or drops it if the queue is full: the owner then learns that the stream has
+    /// ended from heartbeats, which no longer claim it.
     pub fn send(&self, report: Report) {
         if self.tx.try_send(report).is_err() {
-            tracing::warn!("traffic: report dropped, queue full");
+            tracing::warn!("traffic: report queue is full; report dropped");
         }
     }
 }
 
-/// Starts the task that sends reports.
+/// Spawns the task that delivers reports.
 pub fn spawn_reporter<N: Network>(
     own_name: HostName,
     snapshot: SharedSnapshot,
@@ -66,7 +67,8 @@
                 by_pool.entry(report.pool.clone()).or_default().push(report);
             }
             for (pool, reports) in by_pool {
-                // An owner that does not answer must not hold up reports to others.
+                // A separate task per pool, so that an unresponsive owner does not delay reports to
+                // others.
                 let reporter = Arc::clone(&reporter);
                 tasks.spawn(async move { reporter.deliver(&pool, reports).await });
             }
@@ -84,7 +86,7 @@
 
 impl<N: Network> Reporter<N> {
     async fn deliver(&self, pool: &PoolId, reports: Vec<Report>) {
-        // This node's control keeps the placements that were made without an owner.
+        // Placements that were made without an owner are kept by this node's control task.
         self.control.report(reports.clone()).await;
         for attempt in 0..MAX_ATTEMPTS {
             if attempt > 0 {
--- a/crates/azuresaddle-node/src/traffic/reserve.rs
+++ b/crates/azuresaddle-node/src/traffic/reserve.rs
@@ -1,4 +1,4 @@
-//! Gets a reservation from the owner of a pool, or a placement without one.
+//! Gets a reservation from the owner of a pool, or a fallback placement if no owner answers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,32 +12,32 @@
 use super::state::Traffic;
 use crate::peer::{PeerClient, ReserveReply, ReserveRequest};
 
-/// Longest wait for an owner's answer; it answers a waiting request every two seconds.
+/// Maximum wait for an owner's reply; an owner replies to a waiting request every two seconds.
 const OWNER_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Time without an owner's answer after which a request is placed without one.
+/// Time without an owner's reply after which a request is placed without an owner.
 const FALLBACK_AFTER: Duration = Duration::from_secs(2);
 
-/// Time in which a pool gets a new owner while the store can be reached; what can't be placed without
-/// one waits so long.
+/// Maximum time until a pool has a new owner, while the store can be reached. A request that can't
+/// be placed without an owner waits this long for one.
 const NEW_OWNER_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Pause before an owner is asked again.
+/// Delay before the owner is asked again.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Targets of a reservation with their addresses.
+/// A reservation with the addresses of its targets.
 #[derive(Clone, Debug)]
 pub(super) struct Placement {
     pub(super) pool: PoolId,
     pub(super) stream: StreamId,
-    /// The leading target first.
+    /// The lead target first.
     pub(super) targets: Vec<(HostName, SocketAddr)>,
     pub(super) memory_tokens: u64,
     pub(super) epoch: Epoch,
 }
 
 impl<N: Network> Traffic<N> {
-    /// Picks the pool for a job.
+    /// Chooses the pool for a job; fails if no pool is large enough.
     pub(super) fn choose_pool(&self, job: &Job) -> Result<PoolId, Problem> {
         let snapshot = self.snapshot.load();
         let memory = job.prompt_tokens() + job.max_tokens;
@@ -62,7 +62,7 @@
         if let Some(pool) = chosen {
             return Ok(pool.clone());
         }
-        // No digest yet: a pool that is large enough, of the own failure domain if there is one.
+        // No digest helps: takes a pool that is large enough, if possible in this failure domain.
         let is_large_enough = |pool: &&&PoolId| snapshot.hosts.pool_memory(pool) >= memory;
         let is_own_domain = |pool: &&&PoolId| pool.domain == self.settings.domain;
         let fitting = || pools.iter().filter(is_large_enough);
@@ -76,7 +76,7 @@
         })
     }
 
-    /// Waits for a reservation until the deadline.
+    /// Waits for a reservation, or a placement without an owner, until the deadline.
     pub(super) async fn reserve(
         &self,
         req: ReserveRequest,
@@ -117,7 +117,8 @@
         }
     }
 
-    /// Asks the pool's owner; one that can't be reached counts as none.
+    /// Asks the pool's owner for a reservation; an owner that can't be reached is treated as
+    /// [`ReserveReply::NotOwner`].
     async fn ask_owner(&self, req: ReserveRequest) -> ReserveReply {
         let Some(owner) = self.snapshot.load().owners.get(&req.pool).cloned() else {
             return ReserveReply::NotOwner;
@@ -132,7 +133,7 @@
             .unwrap_or(ReserveReply::NotOwner)
     }
 
-    /// Finds the addresses of a grant's targets.
+    /// Looks up the addresses of a grant's targets; fails if one has left the host list.
     fn resolve_targets(
         &self,
         pool: &PoolId,
--- a/crates/azuresaddle-node/src/traffic/respond.rs
+++ b/crates/azuresaddle-node/src/traffic/respond.rs
@@ -1,4 +1,4 @@
-//! The HTTP response of an answer.
+//! The HTTP response that carries an answer.
 
 use std::time::Duration;
 
@@ -16,15 +16,16 @@
 use super::problems;
 use super::sink::CallerSource;
 
-/// Time within which the response begins, and interval of comment lines while no event is ready.
+/// Maximum time until the response begins, and interval of comment lines while no event is ready.
 ///
-/// A caller can so tell a node that waits for its turn from one that has fallen silent.
+/// They let a caller tell a queued request from a node that no longer responds.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A server-sent comment line, which callers ignore.
+/// A comment line of server-sent events, which callers ignore.
 const KEEP_ALIVE_COMMENT: &[u8] = b": waiting\n\n";
 
-/// Responds with the failure if it comes at once, or with a stream of events.
+/// Responds with the problem if the request fails within [`KEEP_ALIVE_INTERVAL`], else with a
+/// stream of events.
 pub(super) async fn respond(mut source: CallerSource) -> Result<Response<Body>, Problem> {
     let head = match &mut source.head {
         Some(head) => tokio::time::timeout(KEEP_ALIVE_INTERVAL, head).await.ok(),
@@ -42,7 +43,7 @@
         .expect("constant headers are valid"))
 }
 
-/// What is known of the beginning of an answer.
+/// Fails if the request failed before its first event, or if the relay ended without a result.
 fn check_head(
     head_result: Result<Result<(), Problem>, oneshot::error::RecvError>,
 ) -> Result<(), Problem> {
@@ -52,7 +53,7 @@
     })
 }
 
-/// The events of an answer, with comments in between.
+/// The encoded events of an answer, with comment lines while none is ready.
 fn event_stream(source: CallerSource) -> impl Stream<Item = Bytes> + Send + Sync {
     futures::stream::unfold(Some(source), |source| async move {
         let mut source = source?;
@@ -64,7 +65,7 @@
     })
 }
 
-/// The next event; `None` after the last one.
+/// Waits for the next encoded event; returns `None` after the last one.
 async fn next_event(source: &mut CallerSource) -> Result<Option<Bytes>, Problem> {
     if let Some(head) = &mut source.head {
         let head_result = head.await;
--- a/crates/azuresaddle-node/src/traffic/resume_token.rs
+++ b/crates/azuresaddle-node/src/traffic/resume_token.rs
@@ -1,24 +1,24 @@
-//! Token with which a caller goes on with an answer through another node.
+//! Token with which a caller continues an answer through another node.
 
 use std::fmt::Write;
 
 use azuresaddle_core::prelude::*;
 use serde::{Deserialize, Serialize};
 
-/// Everything another node needs to go on with an answer.
+/// Everything that another node needs to continue an answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub(super) struct ResumeToken {
     pub(super) account: ClientAccount,
     pub(super) pool: PoolId,
     pub(super) stream: StreamId,
-    /// Host of the leading target; its address comes from the host list.
+    /// Host of the lead target; its address comes from the host list.
     pub(super) target: HostName,
     pub(super) epoch: Epoch,
 }
 
 impl ResumeToken {
-    /// The token as hexadecimal text, safe in headers.
+    /// Encodes the token as hexadecimal text, which is safe in headers.
     pub(super) fn encode(&self) -> String {
         let json = serde_json::to_vec(self).expect("a token serializes");
         let mut text = String::with_capacity(json.len() * 2);
@@ -28,7 +28,7 @@
         text
     }
 
-    /// Reads a token; `None` for other text.
+    /// Decodes a token; returns `None` if the text is not one.
     pub(super) fn decode(text: &str) -> Option<Self> {
         if !text.is_ascii() || !text.len().is_multiple_of(2) {
             return None;
--- a/crates/azuresaddle-node/src/traffic/router.rs
+++ b/crates/azuresaddle-node/src/traffic/router.rs
@@ -1,4 +1,4 @@
-//! Routes callers' requests.
+//! Routes callers' requests to their handlers.
 
 use std::sync::Arc;
 
@@ -11,13 +11,13 @@
 use super::problems;
 use super::state::Traffic;
 
-/// Handles the callers' interface.
+/// HTTP handler of the callers' interface.
 pub struct CallerHandler<N> {
     traffic: Arc<Traffic<N>>,
 }
 
 impl<N: Network> CallerHandler<N> {
-    /// A handler on shared state.
+    /// Creates a handler that uses the shared state.
     pub fn new(traffic: Arc<Traffic<N>>) -> Self {
         Self { traffic }
     }
@@ -69,7 +69,7 @@
     Problem::not_run(StatusCode::NOT_FOUND, "unknown-path", detail)
 }
 
-/// The value of a query parameter; values are plain text without escapes.
+/// Returns the value of a query parameter as it stands; percent escapes are not decoded.
 pub(super) fn query_value(uri: &Uri, name: &str) -> Option<String> {
     let pairs = uri.query()?.split('&');
     let mut pairs = pairs.filter_map(|pair| pair.split_once('='));
--- a/crates/azuresaddle-node/src/traffic/run_job.rs
+++ b/crates/azuresaddle-node/src/traffic/run_job.rs
@@ -1,4 +1,4 @@
-//! Runs an admitted request on one target after another until its answer is whole.
+//! Runs an admitted request, retrying it on other targets until its answer is complete.
 
 use azuresaddle_core::burn::Sample;
 use azuresaddle_core::prelude::*;
@@ -14,11 +14,12 @@
 use crate::engine::EngineFailure;
 use crate::peer::{Report, ReportKind};
 
-/// Most attempts of one request.
+/// Maximum number of attempts for one request.
 const MAX_ATTEMPTS: u8 = 4;
 
 impl<N: Network> Traffic<N> {
-    /// Runs a job to its end; the caller gets exactly one final answer, by the deadline.
+    /// Runs a job to its end. The caller gets exactly one final event or error, by the deadline,
+    /// unless it has disconnected or resumed the answer at another node.
     pub(super) async fn run_job(&self, job: Job, mut sink: CallerSink) {
         let mut progress = Progress::default();
         let caller = sink.watch();
@@ -43,7 +44,7 @@
         };
         self.record_outcome(&job, &progress, problem.as_ref());
         if let Some(problem) = problem {
-            // A caller that does not read is not waited for.
+            // Bounds the wait for a caller that does not read.
             let patience = self.settings.target_timeout;
             let _ = tokio::time::timeout(patience, sink.fail(problem)).await;
         }
@@ -87,13 +88,13 @@
             if attempts_exhausted || !progress.verdict().may_retry(job.idempotent) {
                 return Err(RelayError::TargetFailed(failure));
             }
-            tracing::info!("traffic: {stream} failed, trying again: {failure}");
+            tracing::info!("traffic: {stream} failed; retrying: {failure}");
             self.metrics.count("traffic.retry");
             stream = stream.retry();
         }
     }
 
-    /// Runs one attempt; a failure of the target is reported to the owner.
+    /// Runs one attempt and reports a failure of the target to the pool's owner.
     async fn run_attempt(
         &self,
         job: &Job,
@@ -113,7 +114,8 @@
                     _ => RelayError::TargetFailed(e.to_string()),
                 });
             }
-            // The order may have arrived: what it started is read, not started again.
+            // The start order may have arrived: the relay then reads the stream that it started
+            // instead of starting another one.
             Err(_) => None,
         };
         let mut relay = Relay {
@@ -132,7 +134,7 @@
         end
     }
 
-    /// Notes what became of a job.
+    /// Records the outcome of a job in the metrics and the service-level counts.
     fn record_outcome(&self, job: &Job, progress: &Progress, problem: Option<&Problem>) {
         let now = Instant::now();
         let first_token = progress.first_token_at.map(|at| at - job.arrived);
@@ -154,9 +156,10 @@
     }
 }
 
-/// What the owner has to know of an order that was not run.
+/// What to report to the owner about a start order that was not run.
 fn report_kind(e: &EngineFailure, placement: &Placement) -> ReportKind {
-    // Lent memory may be held by the other targets, so only a single target's refusal is final.
+    // With several targets, the others may still hold memory for the stream, so only the refusal by
+    // a single target is reported as the end; otherwise the owner has to cancel the stream.
     match e {
         EngineFailure::Refused(_) if placement.targets.len() == 1 => {
             ReportKind::Ended(Outcome::TargetRefused)
@@ -167,7 +170,8 @@
     }
 }
 
-/// An attempt that is listed as live; one that is dropped before its end is abandoned.
+/// An attempt that is listed as live. If it is dropped before [`Attempt::end`], it is reported as
+/// abandoned.
 struct Attempt<'a, N: Network> {
     traffic: &'a Traffic<N>,
     report: Option<Report>,
@@ -189,7 +193,8 @@
         }
     }
 
-    /// Ends the attempt with another report than that it is abandoned, or with none.
+    /// Ends the attempt with the given report instead of that of an abandoned one; `None` sends
+    /// none.
     fn end(mut self, kind: Option<ReportKind>) {
         let report = self.report.take();
         if let (Some(kind), Some(report)) = (kind, report) {
--- a/crates/azuresaddle-node/src/traffic/sink.rs
+++ b/crates/azuresaddle-node/src/traffic/sink.rs
@@ -1,4 +1,4 @@
-//! Where the events of an answer go.
+//! Channel that carries the events of an answer to its HTTP response.
 
 use azuresaddle_core::prelude::*;
 use bytes::Bytes;
@@ -7,24 +7,26 @@
 use super::caller_events::CallerEvent;
 use super::relay::RelayError;
 
-/// Most events that wait for a slow caller; the target is read no faster than the caller reads.
+/// Maximum number of events queued for a slow caller; when the queue is full, reading from the
+/// target waits for the caller.
 const MAX_QUEUED_EVENTS: usize = 64;
 
-/// The sending end towards a caller.
+/// The end that the relay writes to.
 pub(super) struct CallerSink {
-    /// Told once whether the answer begins, or why not.
+    /// Signals once that the answer begins, or the problem if it does not.
     head: Option<oneshot::Sender<Result<(), Problem>>>,
     tx: mpsc::Sender<Bytes>,
 }
 
-/// The end that the HTTP response reads from; dropping it tells the relay that the caller is gone.
+/// The end that the HTTP response reads from; dropping it tells the relay that the caller has
+/// disconnected.
 pub(super) struct CallerSource {
-    /// Whether the answer begins, until it is known.
+    /// Resolves to whether the answer begins; `None` once that is known.
     pub(super) head: Option<oneshot::Receiver<Result<(), Problem>>>,
     pub(super) rx: mpsc::Receiver<Bytes>,
 }
 
-/// Makes both ends.
+/// Creates both ends of the channel.
 pub(super) fn caller_channel() -> (CallerSink, CallerSource) {
     let (head_tx, head) = oneshot::channel();
     let (tx, rx) = mpsc::channel(MAX_QUEUED_EVENTS);
@@ -40,7 +42,7 @@
 }
 
 impl CallerSink {
-    /// Sends an event; the first one begins the response.
+    /// Sends an event; the first one begins the response. Waits while the queue is full.
     pub(super) async fn send(&mut self, event: &CallerEvent) -> Result<(), RelayError> {
         if let Some(head) = self.head.take()
             && head.send(Ok(())).is_err()
@@ -51,16 +53,17 @@
         sent.map_err(|_| RelayError::CallerGone)
     }
 
-    /// A handle that tells when the caller has gone away.
+    /// Returns a handle whose `closed` method resolves when the caller disconnects.
     pub(super) fn watch(&self) -> mpsc::Sender<Bytes> {
         self.tx.clone()
     }
 
-    /// Gives the final answer of a request that failed.
+    /// Sends the problem of a request that failed: as the response if that has not begun, else as
+    /// an error event.
     pub(super) async fn fail(mut self, problem: Problem) {
         match self.head.take() {
             Some(head) => {
-                // A caller that has gone away needs no answer.
+                // The send fails only if the caller has disconnected.
                 let _ = head.send(Err(problem));
             }
             None => {
--- a/crates/azuresaddle-node/src/traffic/start_stream.rs
+++ b/crates/azuresaddle-node/src/traffic/start_stream.rs
@@ -1,4 +1,4 @@
-//! One attempt of a job on its reserved targets.
+//! Starts an attempt of a job on its reserved targets.
 
 use azuresaddle_core::prelude::*;
 use futures::future::try_join_all;
@@ -10,7 +10,9 @@
 use crate::engine::{EngineFailure, EngineStream};
 
 impl<N: Network> Traffic<N> {
-    /// Starts a stream on the reserved targets: memory on all, then the stream on the first.
+    /// Holds memory on the other reserved targets, then starts the stream on the lead target.
+    ///
+    /// `prior` holds the tokens that the caller already has from earlier attempts.
     pub(super) async fn start_stream(
         &self,
         job: &Job,
@@ -34,7 +36,7 @@
         let lends = others
             .iter()
             .map(|(_, addr)| self.engines.lend(*addr, &lend));
-        // Lending memory starts nothing, so its failure leaves the request not run.
+        // Holding memory does not start the request, so after a failure here it has not run.
         try_join_all(lends)
             .await
             .map_err(|e| EngineFailure::Refused(e.to_string()))?;
--- a/crates/azuresaddle-node/src/traffic/state.rs
+++ b/crates/azuresaddle-node/src/traffic/state.rs
@@ -1,4 +1,4 @@
-//! What all requests of a node share.
+//! State shared by all requests of a node.
 
 use std::sync::Arc;
 
@@ -16,39 +16,39 @@
 use crate::settings::Settings;
 use crate::snapshot::SharedSnapshot;
 
-/// Shared by all requests.
+/// State shared by all requests, with the handlers and the relay as its methods.
 pub struct Traffic<N> {
     /// Settings of the node.
     pub settings: Arc<Settings>,
-    /// The snapshot in force.
+    /// The current snapshot of rules, hosts, owners and digests.
     pub snapshot: SharedSnapshot,
-    /// Control of this node.
+    /// Handle to the control task of this node.
     pub control: ControlHandle,
-    /// Connections to other nodes.
+    /// Clients of the other nodes.
     pub peers: PeerClients<N>,
-    /// HTTP client on the traffic threads.
+    /// HTTP client that runs on the traffic threads.
     pub http: HttpClient<N>,
-    /// Engines.
+    /// Client of the model engines.
     pub engines: EngineClient<N>,
-    /// The key-value service.
+    /// Client of the key-value store.
     pub store: HttpStore<N>,
-    /// Claims of idempotency keys.
+    /// Claims on idempotency keys.
     pub claims: Claims,
-    /// Reports to owners.
+    /// Sends reports to the owners of pools.
     pub reports: ReportSender,
-    /// Attempts of this node.
+    /// Live attempts of this node, which its heartbeats claim.
     pub live_streams: LiveStreams,
-    /// Room for request bodies, in units of [`BODY_PERMIT_BYTES`].
+    /// Limits the memory for request bodies; each permit stands for [`BODY_PERMIT_BYTES`].
     pub body_permits: Arc<Semaphore>,
-    /// Tasks on the traffic threads.
+    /// Spawns tasks on the traffic threads.
     pub spawner: Spawner,
-    /// Metrics.
+    /// Metrics of the node.
     pub metrics: Metrics,
-    /// Service-level counts.
+    /// Service-level counts of requests, for the error-budget burn.
     pub burn: Arc<BurnRecorder>,
-    /// Outstanding calls to plain services.
+    /// Outstanding calls and circuit breakers of plain services.
     pub service_load: super::call::ServiceLoad,
 }
 
-/// Unit of buffer accounting, in bytes.
+/// Bytes of request body that one permit of [`Traffic::body_permits`] allows.
 pub const BODY_PERMIT_BYTES: usize = 1024;
