--- a/crates/azuresaddle-edge/src/control/crash_writer.rs
+++ b/crates/azuresaddle-edge/src/control/crash_writer.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use azuresaddle_core::prelude::*;
-use azuresaddle_platform::{CrashKey, Lease, MAX_WRITES, PlatformStore, StoreError};
+use azuresaddle_platform::{CrashKey, Lease, MAX_TRANSACTION_OPS, PlatformStore, StoreError};
 use azuresaddle_sched::quarantine::Crash;
 use tokio::sync::mpsc;
 use tokio::time::Instant;
@@ -57,7 +57,7 @@
             }
             match writer.write_batch().await {
                 Ok(()) => backoff = FIRST_BACKOFF,
-                Err(StoreError::WentBack) => {}
+                Err(StoreError::RolledBack) => {}
                 Err(e) => {
                     tracing::info!(part = "control", error = %e, "storing crashes failed");
                     tokio::time::sleep(jittered(backoff)).await;
@@ -116,8 +116,13 @@
     /// Writes and removes as many entries as fit into one call.
     async fn write_batch(&mut self) -> Result<(), StoreError> {
         let lease = self.lease().await?;
-        let keys: Vec<String> = self.pending.iter().take(MAX_WRITES).cloned().collect();
-        let room = MAX_WRITES - keys.len();
+        let keys: Vec<String> = self
+            .pending
+            .iter()
+            .take(MAX_TRANSACTION_OPS)
+            .cloned()
+            .collect();
+        let room = MAX_TRANSACTION_OPS - keys.len();
         let removed: Vec<String> = self.removals.iter().take(room).cloned().collect();
         if let Err(e) = self.store.write_crashes(&keys, lease, &removed).await {
             // The lease may have expired in an outage of the store.
--- a/crates/azuresaddle-edge/src/control/crashes.rs
+++ b/crates/azuresaddle-edge/src/control/crashes.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use azuresaddle_core::prelude::*;
-use azuresaddle_platform::{CrashKey, Item};
+use azuresaddle_platform::{CrashKey, StoreItem};
 use azuresaddle_sched::quarantine::{Crash, CrashStatus, SuccessfulRun, TargetIncarnation};
 use tokio::time::Instant;
 
@@ -131,7 +131,7 @@
 
     /// Applies a crash entry of the store. A removed entry does not end a quarantine: entries
     /// expire with their lease, also in an outage, and the quarantine expires on its own.
-    pub(super) fn on_crash_item(&mut self, now: Instant, item: &Item) {
+    pub(super) fn on_crash_item(&mut self, now: Instant, item: &StoreItem) {
         let Some(key) = CrashKey::decode(&item.key) else {
             tracing::warn!(part = "control", key = item.key, "crash entry not readable");
             return;
@@ -143,10 +143,10 @@
         }
         self.stored_crashes.insert(key);
         let crash = Crash {
-            fingerprint: key.request,
+            fingerprint: key.fingerprint,
             target: TargetIncarnation {
                 target: key.target,
-                number: key.life,
+                number: key.incarnation,
             },
         };
         if self.quarantine.learn_crash(crash) == CrashStatus::New && !self.members.is_mesh() {
@@ -163,7 +163,7 @@
     }
 
     /// Records from a complete listing which crashes the store contains.
-    pub(super) fn on_crash_listing(&mut self, now: Instant, items: &[Item]) {
+    pub(super) fn on_crash_listing(&mut self, now: Instant, items: &[StoreItem]) {
         let keys = items.iter().filter_map(|i| CrashKey::decode(&i.key));
         self.stored_crashes.replace(keys);
         self.schedule_stored_crash_check(now);
--- a/crates/azuresaddle-edge/src/control/registry.rs
+++ b/crates/azuresaddle-edge/src/control/registry.rs
@@ -7,7 +7,7 @@
 
 use azuresaddle_core::deployment::TargetStart;
 use azuresaddle_core::prelude::*;
-use azuresaddle_platform::{DecodeError, Item, StoreEra, StorePosition};
+use azuresaddle_platform::{DecodeError, StoreEra, StoreItem, StorePosition};
 use tokio::time::Instant;
 
 use super::published_targets::PublishedTargets;
@@ -93,7 +93,7 @@
     }
 
     /// Applies one change from the store; true if the targets changed.
-    pub(super) fn apply(&mut self, now: Instant, item: Item) -> bool {
+    pub(super) fn apply(&mut self, now: Instant, item: StoreItem) -> bool {
         let (record, error) = TargetRecord::from_item(item);
         if record.is_removed() {
             return self.remove(now, record.key(), record.position());
@@ -214,7 +214,7 @@
     pub(super) fn apply_listing(
         &mut self,
         now: Instant,
-        items: Vec<Item>,
+        items: Vec<StoreItem>,
         at: StorePosition,
     ) -> bool {
         self.on_era(now, at.era);
--- a/crates/azuresaddle-edge/src/control/store_events.rs
+++ b/crates/azuresaddle-edge/src/control/store_events.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use azuresaddle_core::prelude::*;
-use azuresaddle_platform::{Item, Kind, decode_configuration, kind_of};
+use azuresaddle_platform::{KeyKind, StoreItem, decode_configuration, key_kind};
 use tokio::time::Instant;
 
 use super::actor::Control;
@@ -47,7 +47,7 @@
                 self.on_crash_listing(now, &items);
                 let (targets, others): (Vec<_>, Vec<_>) = items
                     .into_iter()
-                    .partition(|i| kind_of(&i.key) == Kind::Target);
+                    .partition(|i| key_kind(&i.key) == KeyKind::Target);
                 let changed = self.registry.apply_listing(now, targets, at);
                 self.registry.on_caught_up();
                 self.on_items(now, others) | changed
@@ -62,22 +62,22 @@
         }
     }
 
-    fn on_items(&mut self, now: Instant, items: Vec<Item>) -> bool {
+    fn on_items(&mut self, now: Instant, items: Vec<StoreItem>) -> bool {
         let all = items.into_iter();
         all.fold(false, |changed, item| self.on_item(now, item) | changed)
     }
 
-    pub(super) fn on_item(&mut self, now: Instant, item: Item) -> bool {
-        match kind_of(&item.key) {
-            Kind::Target => self.registry.apply(now, item),
-            Kind::Configuration => item
+    pub(super) fn on_item(&mut self, now: Instant, item: StoreItem) -> bool {
+        match key_kind(&item.key) {
+            KeyKind::Target => self.registry.apply(now, item),
+            KeyKind::Configuration => item
                 .value
                 .is_some_and(|json| self.on_configuration(json, "the store")),
-            Kind::Crash => {
+            KeyKind::Crash => {
                 self.on_crash_item(now, &item);
                 false
             }
-            Kind::Other => false,
+            KeyKind::Other => false,
         }
     }
 
--- a/crates/azuresaddle-edge/src/control/store_watch.rs
+++ b/crates/azuresaddle-edge/src/control/store_watch.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use azuresaddle_core::prelude::*;
-use azuresaddle_platform::{Item, PlatformStore, StoreEra, StoreError, StorePosition};
+use azuresaddle_platform::{PlatformStore, StoreEra, StoreError, StoreItem, StorePosition};
 use rand::Rng;
 use tokio::sync::{mpsc, watch};
 
@@ -33,16 +33,16 @@
     /// The complete content of the store.
     Listing {
         /// The items.
-        items: Vec<Item>,
+        items: Vec<StoreItem>,
         /// Position of the listing.
         at: StorePosition,
     },
     /// A page of a listing other than the last one.
-    Page(Vec<Item>),
+    Page(Vec<StoreItem>),
     /// All changes since the previous event or the listing.
     Changes {
         /// The changes in order.
-        items: Vec<Item>,
+        items: Vec<StoreItem>,
         /// Position up to which the changes are complete.
         at: StorePosition,
     },
@@ -69,7 +69,7 @@
         let result = tokio::select! {
             result = next_event(&store, &mut progress) => result,
             // A watch that was started before the rollback may never be answered.
-            Ok(()) = wait_for_later_era(&mut later) => Err(StoreError::WentBack),
+            Ok(()) = wait_for_later_era(&mut later) => Err(StoreError::RolledBack),
         };
         if let Some(era) = take_later_era(&mut era)
             && tx.send(StoreEvent::Era(era)).await.is_err()
@@ -85,7 +85,7 @@
                 is_unreachable = false;
                 event
             }
-            Err(StoreError::Compacted | StoreError::WentBack) => {
+            Err(StoreError::Compacted | StoreError::RolledBack) => {
                 progress = ReadProgress::start();
                 continue;
             }
@@ -136,7 +136,7 @@
 enum ReadProgress {
     /// The complete store is being read page by page.
     Listing {
-        items: Vec<Item>,
+        items: Vec<StoreItem>,
         /// Position of the first page.
         at: Option<StorePosition>,
         /// Key after which the next page starts.
@@ -180,7 +180,7 @@
             let page = store.page("", after.as_deref()).await?;
             let first_at = *at.get_or_insert(page.at);
             if page.at.era != first_at.era {
-                return Err(StoreError::WentBack);
+                return Err(StoreError::RolledBack);
             }
             *after = page.next;
             if after.is_some() {
--- a/crates/azuresaddle-edge/src/control/stored_crashes.rs
+++ b/crates/azuresaddle-edge/src/control/stored_crashes.rs
@@ -34,7 +34,7 @@
     /// Stored crashes of a request.
     pub(super) fn of_request(&self, request: Fingerprint) -> Vec<CrashKey> {
         let all = self.keys.iter().copied();
-        all.filter(|key| key.request == request).collect()
+        all.filter(|key| key.fingerprint == request).collect()
     }
 
     /// Schedules a check for lost crashes, unless an earlier one is scheduled.
@@ -57,8 +57,8 @@
 /// The key under which the store keeps a crash.
 pub(super) fn key_of(crash: &Crash) -> CrashKey {
     CrashKey {
-        request: crash.fingerprint,
+        fingerprint: crash.fingerprint,
         target: crash.target.target,
-        life: crash.target.number,
+        incarnation: crash.target.number,
     }
 }
--- a/crates/azuresaddle-edge/src/control/target_record.rs
+++ b/crates/azuresaddle-edge/src/control/target_record.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 
 use azuresaddle_core::deployment::{TargetEntry, TargetStart, TargetState};
-use azuresaddle_platform::{DecodeError, Item, StorePosition, decode_target};
+use azuresaddle_platform::{DecodeError, StoreItem, StorePosition, decode_target_entry};
 use serde::{Deserialize, Serialize};
 
 /// Orders the entries that a target writes, independently of store revisions.
@@ -81,7 +81,7 @@
 
 impl TargetRecord {
     /// Creates a record from a store item. Also returns the error if the value cannot be decoded.
-    pub(super) fn from_item(item: Item) -> (Self, Option<DecodeError>) {
+    pub(super) fn from_item(item: StoreItem) -> (Self, Option<DecodeError>) {
         let at = item.position;
         let presence = match item.value {
             Some(_) => Presence::Present {
@@ -120,7 +120,10 @@
             presence,
             key: Arc::from(key),
         };
-        let decoded = record.value.as_ref().map(|v| decode_target(&record.key, v));
+        let decoded = record
+            .value
+            .as_ref()
+            .map(|v| decode_target_entry(&record.key, v));
         match decoded {
             Some(Ok(entry)) => {
                 record.number = number.max(EntryNumber::of(&entry));
--- a/crates/azuresaddle-edge/src/control/tests/registry.rs
+++ b/crates/azuresaddle-edge/src/control/tests/registry.rs
@@ -4,7 +4,7 @@
 
 use azuresaddle_core::deployment::TargetStart;
 use azuresaddle_core::prelude::*;
-use azuresaddle_platform::{Item, StoreEra, StorePosition};
+use azuresaddle_platform::{StoreEra, StoreItem, StorePosition};
 use proptest::prelude::*;
 use proptest::sample::select;
 use tokio::time::Instant;
@@ -17,25 +17,25 @@
 }
 
 /// Entry of a target's first start, with the revision as its sequence number.
-pub(super) fn item(id: &str, state: &str, revision: u64) -> Item {
+pub(super) fn item(id: &str, state: &str, revision: u64) -> StoreItem {
     item_of(id, state, revision, 1_000, revision)
 }
 
 /// Entry of a given start of a target.
-pub(super) fn item_of(id: &str, state: &str, revision: u64, born: u64, sequence: u64) -> Item {
+pub(super) fn item_of(id: &str, state: &str, revision: u64, born: u64, sequence: u64) -> StoreItem {
     let value = format!(
         r#"{{"service":"s","address":"10.0.0.9:80","zone":"d1","version":"v1","slots":6,
         "state":"{state}","cold_remaining_ms":0,"born":{born},"sequence":{sequence}}}"#
     );
-    Item {
+    StoreItem {
         key: format!("servers/{id}"),
         value: Some(value.into_bytes()),
         position: at(revision),
     }
 }
 
-pub(super) fn removed(id: &str, revision: u64) -> Item {
-    Item {
+pub(super) fn removed(id: &str, revision: u64) -> StoreItem {
+    StoreItem {
         key: format!("servers/{id}"),
         value: None,
         position: at(revision),
@@ -229,7 +229,7 @@
         let mut listing = vec![item("own-2", "ready", 2)];
         for (revision, (id, value)) in (3..).zip(writes) {
             let key = format!("servers/{id}");
-            listing.push(Item { key, value: Some(value), position: at(revision) });
+            listing.push(StoreItem { key, value: Some(value), position: at(revision) });
         }
         listing.push(item("own-1", "ready", 1));
         registry.apply_listing(now, listing, at(100));
--- a/crates/azuresaddle-edge/src/control/tests/store_model/nodes.rs
+++ b/crates/azuresaddle-edge/src/control/tests/store_model/nodes.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use azuresaddle_core::deployment::TargetState;
-use azuresaddle_platform::{Item, StorePosition};
+use azuresaddle_platform::{StoreItem, StorePosition};
 use rand::Rng;
 
 use super::world::World;
@@ -27,7 +27,7 @@
         }
         let at = self.position(self.store.revision);
         let changes = self.changes_after(self.nodes[n].read_up_to);
-        let listing: Vec<Item> = self.listing();
+        let listing: Vec<StoreItem> = self.listing();
         let node = &mut self.nodes[n];
         node.registry.on_era(now, at.era);
         if std::mem::take(&mut node.is_store_unreachable) {
@@ -59,7 +59,7 @@
 
     /// Returns the changes after a position, as a watch reports them; `None` if the store has to be
     /// listed again.
-    pub(super) fn changes_after(&self, after: Option<StorePosition>) -> Option<Vec<Item>> {
+    pub(super) fn changes_after(&self, after: Option<StorePosition>) -> Option<Vec<StoreItem>> {
         let after = after?;
         let is_known =
             after.revision >= self.store.compacted && after.revision <= self.store.revision;
@@ -67,7 +67,7 @@
             return None;
         }
         let later = self.store.history.iter().filter(|c| c.2 > after.revision);
-        let items = later.map(|(key, value, revision)| Item {
+        let items = later.map(|(key, value, revision)| StoreItem {
             key: key.clone(),
             value: value.clone(),
             position: self.position(*revision),
@@ -75,9 +75,9 @@
         Some(items.collect())
     }
 
-    pub(super) fn listing(&self) -> Vec<Item> {
+    pub(super) fn listing(&self) -> Vec<StoreItem> {
         let all = self.store.values.iter();
-        all.map(|(key, (value, revision))| Item {
+        all.map(|(key, (value, revision))| StoreItem {
             key: key.clone(),
             value: Some(value.clone()),
             position: self.position(*revision),
--- a/crates/azuresaddle-edge/src/control/tests/store_rollback.rs
+++ b/crates/azuresaddle-edge/src/control/tests/store_rollback.rs
@@ -2,15 +2,15 @@
 
 use std::time::Duration;
 
-use azuresaddle_platform::{Item, StoreEra, StorePosition};
+use azuresaddle_platform::{StoreEra, StoreItem, StorePosition};
 use tokio::time::Instant;
 
 use super::registry::{at, ids, item, item_of, removed};
 use crate::control::registry::Registry;
 
 /// Returns the same item at a revision of the era after the rollback.
-fn after_rollback(item: Item, revision: u64) -> Item {
-    Item {
+fn after_rollback(item: StoreItem, revision: u64) -> StoreItem {
+    StoreItem {
         position: StorePosition::new(StoreEra(2), revision),
         ..item
     }
--- a/crates/azuresaddle-edge/src/control/tests/target_record.rs
+++ b/crates/azuresaddle-edge/src/control/tests/target_record.rs
@@ -1,6 +1,6 @@
 //! Tests that records of a key merge to the same result in any order.
 
-use azuresaddle_platform::{Item, StoreEra, StorePosition};
+use azuresaddle_platform::{StoreEra, StoreItem, StorePosition};
 use proptest::prelude::*;
 use rand::rngs::SmallRng;
 use rand::seq::SliceRandom;
@@ -34,7 +34,7 @@
 fn records(changes: &[Change]) -> Vec<TargetRecord> {
     let (mut born, mut number, mut state) = (1000, 0, "ready");
     let (mut era, mut revision) = (1, 0);
-    let mut log: Vec<Option<Item>> = Vec::new();
+    let mut log: Vec<Option<StoreItem>> = Vec::new();
     let mut seen: Vec<TargetRecord> = Vec::new();
     let mut latest: Option<TargetRecord> = None;
     for change in changes {
@@ -47,7 +47,7 @@
                 if let Some(Some(item)) = log.last() {
                     let position = StorePosition::new(StoreEra(era), item.position.revision);
                     seen.push(
-                        TargetRecord::from_item(Item {
+                        TargetRecord::from_item(StoreItem {
                             position,
                             ..item.clone()
                         })
@@ -72,7 +72,7 @@
                     Change::Restarted => (born, number, state) = (born + 1000, 1, "ready"),
                     _ => {}
                 }
-                let item = Item {
+                let item = StoreItem {
                     position,
                     ..item_of("a", state, 1, born, number)
                 };
--- a/crates/azuresaddle-edge/src/forward/head.rs
+++ b/crates/azuresaddle-edge/src/forward/head.rs
@@ -150,10 +150,10 @@
     /// Prompt tokens and expected answer tokens, where the request says them.
     pub(crate) fn tokens(&self) -> Option<(u64, u64)> {
         let map = &self.head.headers;
-        let (prompt, most) = headers::tokens_of(map.get(&headers::TOKENS)?)?;
+        let (prompt, most) = headers::parse_token_counts(map.get(&headers::TOKEN_COUNTS)?)?;
         let estimate = map
             .get(&headers::ANSWER_ESTIMATE)
-            .and_then(headers::number_of);
+            .and_then(headers::parse_number);
         Some((prompt, estimate.unwrap_or(most).min(most.max(1))))
     }
 
--- a/crates/azuresaddle-edge/src/forward/pace_check.rs
+++ b/crates/azuresaddle-edge/src/forward/pace_check.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use azuresaddle_core::prelude::*;
-use azuresaddle_platform::{EngineReport, REPORT_PATH, decode_report};
+use azuresaddle_platform::{EngineReport, REPORT_PATH, decode_engine_report};
 use tokio::sync::mpsc;
 
 use super::attempt::SendFailure;
@@ -45,5 +45,5 @@
         .get(engine)
         .ok_or_else(|| SendFailure::NotSent("the target is gone".to_owned()))?;
     let answer = call_target(cx, target, TargetCall::get(REPORT_PATH)).await?;
-    decode_report(&answer).map_err(|e| SendFailure::Broken(e.to_string()))
+    decode_engine_report(&answer).map_err(|e| SendFailure::Broken(e.to_string()))
 }
--- a/crates/azuresaddle-edge/src/forward/plain.rs
+++ b/crates/azuresaddle-edge/src/forward/plain.rs
@@ -305,7 +305,7 @@
     if let Some((running, waiting, _)) = parts
         .headers
         .get(&headers::TARGET_LOAD)
-        .and_then(headers::load_of)
+        .and_then(headers::parse_load)
     {
         cx.health.on_load(&target.id, running + waiting);
     }
--- a/crates/azuresaddle-edge/src/forward/reservations.rs
+++ b/crates/azuresaddle-edge/src/forward/reservations.rs
@@ -6,7 +6,7 @@
 use azuresaddle_core::deployment::TargetEntry;
 use azuresaddle_core::prelude::*;
 use azuresaddle_platform::{
-    HelperRef, ORDER_PATH, decode_order_answer, encode_release, encode_reserve,
+    HelperRef, RESERVATION_PATH, decode_reservation_answer, encode_release, encode_reserve,
 };
 use futures::future::join_all;
 use tokio_util::sync::{CancellationToken, DropGuard};
@@ -131,8 +131,8 @@
     target: &TargetEntry,
     body: Vec<u8>,
 ) -> Result<(), SendFailure> {
-    let answer = call_target(cx, target, TargetCall::post(ORDER_PATH, body)).await?;
-    decode_order_answer(&answer)
+    let answer = call_target(cx, target, TargetCall::post(RESERVATION_PATH, body)).await?;
+    decode_reservation_answer(&answer)
         .map(|_| ())
         .map_err(|e| SendFailure::Broken(e.to_string()))
 }
--- a/crates/azuresaddle-edge/src/frontend/admission.rs
+++ b/crates/azuresaddle-edge/src/frontend/admission.rs
@@ -72,7 +72,7 @@
     if !configuration.has_accounts() {
         return Ok(None);
     }
-    let key = map.get(AUTHORIZATION).and_then(headers::key_of);
+    let key = map.get(AUTHORIZATION).and_then(headers::parse_api_key);
     let account = key.and_then(|k| configuration.account(k)).cloned();
     if account.is_none() && !route.is_public {
         return Err(Rejection::new(StatusCode::UNAUTHORIZED, "unknown key"));
--- a/crates/azuresaddle-edge/src/frontend/service.rs
+++ b/crates/azuresaddle-edge/src/frontend/service.rs
@@ -235,7 +235,9 @@
 
 /// Time that the caller allows; a day where it states none.
 fn time_told(map: &HeaderMap) -> Duration {
-    let told = map.get(&headers::TIME_LEFT_MS).and_then(headers::number_of);
+    let told = map
+        .get(&headers::TIME_LEFT_MS)
+        .and_then(headers::parse_number);
     told.map_or(UNSTATED_TIME, Duration::from_millis)
         .min(UNSTATED_TIME)
 }
--- a/crates/azuresaddle-standin/src/platform/caller.rs
+++ b/crates/azuresaddle-standin/src/platform/caller.rs
@@ -143,7 +143,7 @@
     let ms = asked.patience.as_millis();
     map.insert(headers::TIME_LEFT_MS, text(ms.to_string()));
     if let Some((prompt, answer)) = asked.tokens {
-        map.insert(headers::TOKENS, text(format!("{prompt},{answer}")));
+        map.insert(headers::TOKEN_COUNTS, text(format!("{prompt},{answer}")));
     }
     req
 }
--- a/crates/azuresaddle-standin/src/platform/engine.rs
+++ b/crates/azuresaddle-standin/src/platform/engine.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use azuresaddle_core::deployment::EngineSpec;
-use azuresaddle_platform::{ORDER_PATH, REPORT_PATH, headers};
+use azuresaddle_platform::{REPORT_PATH, RESERVATION_PATH, headers};
 use bytes::Bytes;
 use hyper::body::Incoming;
 use hyper::{Request, Response, StatusCode};
@@ -164,7 +164,9 @@
         let map = req.headers().clone();
         let body = whole_body(req).await;
         let attempt = text_of(&map, headers::ATTEMPT_ID.as_str());
-        let tokens = map.get(headers::TOKENS).and_then(headers::tokens_of);
+        let tokens = map
+            .get(headers::TOKEN_COUNTS)
+            .and_then(headers::parse_token_counts);
         let Some((prompt_tokens, answer_tokens)) = tokens else {
             return target.decline(StatusCode::BAD_REQUEST);
         };
@@ -304,7 +306,7 @@
         req: Request<Incoming>,
     ) -> Response<PieceBody> {
         match req.uri().path() {
-            ORDER_PATH => {
+            RESERVATION_PATH => {
                 let (status, body) = Arc::clone(&self.0).take_order(&target, req).await;
                 let mut response = Response::new(PieceBody::whole(body));
                 *response.status_mut() = status;
