--- a/src/cmd/admin.rs
+++ b/src/cmd/admin.rs
@@ -19,7 +19,7 @@
 const TIMEOUT: Duration = Duration::from_secs(15);
 
 /// Longest answer, in bytes.
-const MAX_BYTES: usize = 16 << 20;
+const MAX_ANSWER_BYTES: usize = 16 << 20;
 
 /// Arguments that lead to a node's operators' interface.
 pub(crate) fn args() -> [Arg; 2] {
@@ -82,7 +82,7 @@
     }
 
     /// A client of an address that asks for no token; needs a runtime.
-    pub(crate) fn at(addr: SocketAddr) -> Self {
+    pub(crate) fn without_token(addr: SocketAddr) -> Self {
         Self {
             http: HttpClient::new(TcpNetwork, Spawner::current()),
             addr,
@@ -114,7 +114,7 @@
             .await
             .with_context(|| format!("node {}", self.addr))?;
         let status = resp.status();
-        let body = read_limited(resp.into_body(), MAX_BYTES, TIMEOUT).await?;
+        let body = read_limited(resp.into_body(), MAX_ANSWER_BYTES, TIMEOUT).await?;
         Ok(AdminAnswer { status, body })
     }
 }
--- a/src/cmd/ask.rs
+++ b/src/cmd/ask.rs
@@ -18,7 +18,7 @@
 use super::runtime::client_runtime;
 
 /// Longest silence of an answer that has begun.
-const SILENCE: Duration = Duration::from_secs(10);
+const EVENT_TIMEOUT: Duration = Duration::from_secs(10);
 
 pub(crate) fn make_subcommand() -> Command {
     Command::new("ask")
@@ -33,18 +33,18 @@
                 .default_value("127.0.0.1:7000")
                 .help("A node's address for callers"),
         )
-        .arg(text("account", "operator", "Client account"))
-        .arg(text("model", "m", "Model"))
-        .arg(text("kind", "", "Kind of the request, for rules"))
-        .arg(number("max-tokens", "512", "Most tokens of the answer"))
-        .arg(number(
+        .arg(text_arg("account", "operator", "Client account"))
+        .arg(text_arg("model", "m", "Model"))
+        .arg(text_arg("kind", "", "Kind of the request, for rules"))
+        .arg(number_arg("max-tokens", "512", "Most tokens of the answer"))
+        .arg(number_arg(
             "deadline-ms",
             "60000",
             "Time until the deadline, in milliseconds",
         ))
 }
 
-fn text(name: &'static str, default: &'static str, help: &'static str) -> Arg {
+fn text_arg(name: &'static str, default: &'static str, help: &'static str) -> Arg {
     Arg::new(name)
         .long(name)
         .value_name("TEXT")
@@ -52,7 +52,7 @@
         .help(help)
 }
 
-fn number(name: &'static str, default: &'static str, help: &'static str) -> Arg {
+fn number_arg(name: &'static str, default: &'static str, help: &'static str) -> Arg {
     Arg::new(name)
         .long(name)
         .value_name("N")
@@ -80,7 +80,7 @@
         .header(HEADER_DEADLINE_MS, deadline_ms)
         .body(Full::from(serde_json::to_vec(&body)?))?;
     let http = HttpClient::new(TcpNetwork, Spawner::current());
-    let timeout = Duration::from_millis(deadline_ms) + SILENCE;
+    let timeout = Duration::from_millis(deadline_ms) + EVENT_TIMEOUT;
     let resp = http
         .send(addr, req, timeout)
         .await
@@ -88,24 +88,24 @@
     if !resp.status().is_success() {
         let bytes = resp.into_body().collect().await?.to_bytes();
         let problem: Problem = serde_json::from_slice(&bytes)?;
-        bail!(describe(&problem));
+        bail!(format_problem(&problem));
     }
-    let mut events = EventReader::new(resp.into_body(), SILENCE);
+    let mut events = EventReader::new(resp.into_body(), EVENT_TIMEOUT);
     while let Some(event) = events.next().await {
         match event {
             CallerEvent::Start(_) => {}
-            CallerEvent::Token(token) => output::text(&token.token),
+            CallerEvent::Token(token) => output::print_text(&token.token),
             CallerEvent::End(_) => {
-                output::line("");
+                output::print_line("");
                 return Ok(());
             }
-            CallerEvent::Error(problem) => bail!(describe(&problem)),
+            CallerEvent::Error(problem) => bail!(format_problem(&problem)),
         }
     }
     bail!("the connection broke before the answer was whole (may-have-run)")
 }
 
-fn describe(problem: &Problem) -> String {
+fn format_problem(problem: &Problem) -> String {
     let mut text = format!(
         "{}: {} ({})",
         problem.title, problem.detail, problem.verdict
--- a/src/cmd/burn.rs
+++ b/src/cmd/burn.rs
@@ -93,28 +93,28 @@
         return Err(super::BadInput(detail).into());
     }
     let budget = 1.0 - percent / 100.0;
-    let reply = client_runtime()?.block_on(read_counts(args))?;
+    let reply = client_runtime()?.block_on(fetch_counts(args))?;
     if let Some(path) = args.get_one::<PathBuf>("plot") {
         let svg = burn_plot::draw(&reply.counts.rows, budget)?;
         std::fs::write(path, svg).with_context(|| format!("--plot {}", path.display()))?;
     }
     if args.get_flag("json") {
-        return output::json(&reply);
+        return output::print_json(&reply);
     }
     print_table(&reply, budget);
     Ok(())
 }
 
 /// Counts of the nodes on the platform that are named, or else of the own interface's nodes.
-async fn read_counts(args: &ArgMatches) -> Result<BurnReply> {
+async fn fetch_counts(args: &ArgMatches) -> Result<BurnReply> {
     let Some(nodes) = args.get_many::<SocketAddr>("node") else {
         return AdminClient::new(args).get("/admin/v1/burn").await;
     };
     let mut counts = BurnCounts::default();
     let mut missing = Vec::new();
     for node in nodes {
-        match AdminClient::at(*node).get(BURN_PATH).await {
-            Ok(more) => counts.merge(more),
+        match AdminClient::without_token(*node).get(BURN_PATH).await {
+            Ok(node_counts) => counts.merge(node_counts),
             Err(e) => {
                 tracing::warn!(part = "burn", %node, error = %e, "node did not answer");
                 missing.push(HostName::new(node.to_string()));
@@ -125,20 +125,22 @@
 }
 
 fn print_table(reply: &BurnReply, budget: f64) {
-    let mut head = format!("{:<14} {:<16} {:<12}", "account", "rule", "objective");
+    let mut header = format!("{:<14} {:<16} {:<12}", "account", "rule", "objective");
     for minutes in WINDOW_MINUTES {
-        head.push_str(&format!(" {:>9}", format!("{minutes} min")));
+        header.push_str(&format!(" {:>9}", format!("{minutes} min")));
     }
-    head.push_str(&format!(" {:>9} {:>9}", "requests", "p95 ms"));
-    output::line(head);
+    header.push_str(&format!(" {:>9} {:>9}", "requests", "p95 ms"));
+    output::print_line(header);
     for row in &reply.counts.rows {
         for objective in Objective::ALL {
-            output::line(table_line(row, objective, budget));
+            output::print_line(table_line(row, objective, budget));
         }
     }
-    output::line("burn: 1.00 spends the error budget exactly as fast as the objective allows");
+    output::print_line(
+        "burn: 1.00 spends the error budget exactly as fast as the objective allows",
+    );
     for node in &reply.missing {
-        output::line(format!(
+        output::print_line(format!(
             "node {node} did not answer; its requests are missing"
         ));
     }
--- a/src/cmd/burn_plot.rs
+++ b/src/cmd/burn_plot.rs
@@ -21,11 +21,11 @@
 /// Where the drawing fails.
 pub(super) fn draw(rows: &[BurnRow], budget: f64) -> Result<String> {
     let mut svg = String::new();
-    draw_on(rows, budget, &mut svg).map_err(|e| anyhow!("plot: {e}"))?;
+    draw_into(rows, budget, &mut svg).map_err(|e| anyhow!("plot: {e}"))?;
     Ok(svg)
 }
 
-fn draw_on(
+fn draw_into(
     rows: &[BurnRow],
     budget: f64,
     svg: &mut String,
@@ -33,8 +33,11 @@
     let height = FRAME_HEIGHT + ROW_HEIGHT * rows.len().max(1) as u32;
     let root = SVGBackend::with_string(svg, (WIDTH, height)).into_drawing_area();
     root.fill(&WHITE)?;
-    let burns: Vec<Vec<f64>> = rows.iter().map(|row| burns_of(row, budget)).collect();
-    let most = burns.iter().flatten().copied().fold(1.5, f64::max);
+    let burns: Vec<Vec<f64>> = rows
+        .iter()
+        .map(|row| objective_burns(row, budget))
+        .collect();
+    let max_burn = burns.iter().flatten().copied().fold(1.5, f64::max);
     let mut chart = ChartBuilder::on(&root)
         .margin(16)
         .caption(
@@ -43,7 +46,7 @@
         )
         .x_label_area_size(40)
         .y_label_area_size(220)
-        .build_cartesian_2d(0.0..most * 1.05, 0.0..rows.len().max(1) as f64)?;
+        .build_cartesian_2d(0.0..max_burn * 1.05, 0.0..rows.len().max(1) as f64)?;
     let label = |y: &f64| {
         let row = rows.get(*y as usize).filter(|_| y.fract() == 0.0);
         row.map_or(String::new(), |r| format!("{} {}", r.account, rule_name(r)))
@@ -77,7 +80,7 @@
 }
 
 /// Burn of a row's shortest window by objective.
-fn burns_of(row: &BurnRow, budget: f64) -> Vec<f64> {
+fn objective_burns(row: &BurnRow, budget: f64) -> Vec<f64> {
     let counts = row.windows.first().copied().unwrap_or_default();
     let burn = |objective: Objective| objective.burn(&counts, budget);
     Objective::ALL.into_iter().map(burn).collect()
--- a/src/cmd/check.rs
+++ b/src/cmd/check.rs
@@ -6,7 +6,7 @@
 use azuresaddle_platform::{decode_configuration, read_settings};
 use clap::{Arg, ArgMatches, Command, value_parser};
 
-use super::output::line;
+use super::output::print_line;
 
 fn file_arg(help: &'static str) -> Arg {
     Arg::new("FILE")
@@ -15,7 +15,7 @@
         .help(help)
 }
 
-fn file(args: &ArgMatches) -> &PathBuf {
+fn file_path(args: &ArgMatches) -> &PathBuf {
     args.get_one("FILE").expect("clap requires it")
 }
 
@@ -26,15 +26,15 @@
 }
 
 pub(crate) fn execute_settings(args: &ArgMatches) -> Result<()> {
-    let settings = read_settings(file(args)).map_err(|e| anyhow!(e))?;
-    line(format!(
+    let settings = read_settings(file_path(args)).map_err(|e| anyhow!(e))?;
+    print_line(format!(
         "host {}, failure domain {}",
         settings.name, settings.domain
     ));
-    line(format!("callers {}", settings.listen.callers));
-    line(format!("directory {}", settings.listen.directory));
-    line(format!("store {}", settings.store));
-    line(format!("grace of a stop {:?}", settings.bounds.stop_grace));
+    print_line(format!("callers {}", settings.listen.callers));
+    print_line(format!("directory {}", settings.listen.directory));
+    print_line(format!("store {}", settings.store));
+    print_line(format!("grace of a stop {:?}", settings.bounds.stop_grace));
     Ok(())
 }
 
@@ -45,10 +45,10 @@
 }
 
 pub(crate) fn execute_config(args: &ArgMatches) -> Result<()> {
-    let path = file(args);
+    let path = file_path(args);
     let json = std::fs::read(path).with_context(|| path.display().to_string())?;
     let configuration = decode_configuration(&json).map_err(|e| anyhow!(e))?;
-    line(format!(
+    print_line(format!(
         "version {}, {} routes, {} services",
         configuration.version,
         configuration.route_count(),
--- a/src/cmd/hosts.rs
+++ b/src/cmd/hosts.rs
@@ -51,10 +51,10 @@
         Some(("plan-stop", args)) => {
             let at: u64 = *args.get_one("at").expect("has a default");
             let path = format!("{}?at-unix-ms={at}", stop_path(args));
-            runtime.block_on(change(args, Method::PUT, &path))
+            runtime.block_on(change_stop(args, Method::PUT, &path))
         }
         Some(("cancel-stop", args)) => {
-            runtime.block_on(change(args, Method::DELETE, &stop_path(args)))
+            runtime.block_on(change_stop(args, Method::DELETE, &stop_path(args)))
         }
         _ => unreachable!("clap requires a subcommand"),
     }
@@ -67,7 +67,7 @@
 
 async fn list(args: &ArgMatches) -> Result<()> {
     let rows: Vec<HostRow> = AdminClient::new(args).get("/admin/v1/hosts").await?;
-    output::line(format!(
+    output::print_line(format!(
         "{:<20} {:<12} {:<8} state",
         "host", "domain", "kind"
     ));
@@ -77,7 +77,7 @@
             (false, true) => "leaving",
             (false, false) => "in use",
         };
-        output::line(format!(
+        output::print_line(format!(
             "{:<20} {:<12} {:<8} {state}",
             row.host.as_str(),
             row.domain.as_str(),
@@ -87,9 +87,9 @@
     Ok(())
 }
 
-async fn change(args: &ArgMatches, method: Method, path: &str) -> Result<()> {
+async fn change_stop(args: &ArgMatches, method: Method, path: &str) -> Result<()> {
     let answer = AdminClient::new(args).call(method, path, &()).await?;
     let record: RulesRecord = answer.success()?;
-    output::line(format!("version {} accepted", record.version));
+    output::print_line(format!("version {} accepted", record.version));
     Ok(())
 }
--- a/src/cmd/losses.rs
+++ b/src/cmd/losses.rs
@@ -7,7 +7,7 @@
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
 
 use super::log_files;
-use super::output::line;
+use super::output::print_line;
 
 pub(crate) fn make_subcommand() -> Command {
     Command::new("losses")
@@ -48,28 +48,25 @@
 
 pub(crate) fn execute(args: &ArgMatches) -> Result<()> {
     let logs = log_files::read(args)?;
-    let told = args.get_many::<(String, f64)>("worth");
-    let worth: HashMap<String, f64> = told.into_iter().flatten().cloned().collect();
-    let account = LossReport::new(logs.iter().flat_map(|log| log.text.lines()), |route| {
+    let entries = args.get_many::<(String, f64)>("worth");
+    let worth: HashMap<String, f64> = entries.into_iter().flatten().cloned().collect();
+    let report = LossReport::new(logs.iter().flat_map(|log| log.text.lines()), |route| {
         worth.get(route).copied().unwrap_or(1.0)
     });
-    if account.is_empty() {
+    if report.is_empty() {
         bail!("no line tells of a request with a route");
     }
-    print_rows(&account);
-    print_sizes(&account);
-    print_seconds(
-        &account,
-        *args.get_one("seconds").expect("it has a default"),
-    );
+    print_reasons(&report);
+    print_sizes(&report);
+    print_seconds(&report, *args.get_one("seconds").expect("it has a default"));
     Ok(())
 }
 
-fn print_rows(account: &LossReport) {
-    let rows = account.rows();
+fn print_reasons(report: &LossReport) {
+    let rows = report.rows();
     let total: f64 = rows.iter().map(|r| r.worth).sum();
-    line(format!("{} requests", account.len()));
-    line(format!(
+    print_line(format!("{} requests", report.len()));
+    print_line(format!(
         "{:<14} {:<26} {:>7} {:>9} {:>7}",
         "route", "reason", "count", "worth", "share"
     ));
@@ -81,7 +78,7 @@
     } in &rows
     {
         let share = worth / total;
-        line(format!(
+        print_line(format!(
             "{route:<14} {reason:<26} {count:>7} {worth:>9.1} {share:>7.4}"
         ));
     }
@@ -90,7 +87,7 @@
         let (count, worth) = same.fold((0, 0.0), |(n, w), r| (n + r.count, w + r.worth));
         if count > 0 {
             let share = worth / total;
-            line(format!(
+            print_line(format!(
                 "{:<14} {reason:<26} {count:>7} {worth:>9.1} {share:>7.4}",
                 "all"
             ));
@@ -98,40 +95,40 @@
     }
 }
 
-fn print_sizes(account: &LossReport) {
-    line(format!(
+fn print_sizes(report: &LossReport) {
+    print_line(format!(
         "\n{:<14} {:<14} {:>7} {:>8}",
         "route", "prompts", "count", "on time"
     ));
-    for class in account.size_classes() {
+    for class in report.size_classes() {
         let share = class.on_time as f64 / class.count.max(1) as f64;
-        line(format!(
+        print_line(format!(
             "{:<14} {:<14} {:>7} {share:>8.3}",
             class.route, class.size, class.count
         ));
     }
 }
 
-fn print_seconds(account: &LossReport, most: usize) {
-    let mut seconds = account.seconds();
+fn print_seconds(report: &LossReport, limit: usize) {
+    let mut seconds = report.seconds();
     let lost = |s: &SecondTotals| s.lost.values().sum::<f64>();
     seconds.sort_by(|a, b| lost(b).total_cmp(&lost(a)));
-    line(format!(
+    print_line(format!(
         "\n{:>7} {:>7} {:>9} {:>9}  lost most by",
         "second", "count", "worth", "lost"
     ));
-    for second in seconds.iter().take(most) {
+    for second in seconds.iter().take(limit) {
         let mut reasons: Vec<(&Reason, &f64)> = second.lost.iter().collect();
         reasons.sort_by(|a, b| b.1.total_cmp(a.1));
-        let named = reasons.iter().take(3).map(|(r, w)| format!("{r} {w:.1}"));
-        let named: Vec<String> = named.collect();
-        line(format!(
+        let top_reasons = reasons.iter().take(3).map(|(r, w)| format!("{r} {w:.1}"));
+        let top_reasons: Vec<String> = top_reasons.collect();
+        print_line(format!(
             "{:>7} {:>7} {:>9.1} {:>9.1}  {}",
             second.offset_s,
             second.count,
             second.worth,
             lost(second),
-            named.join(", ")
+            top_reasons.join(", ")
         ));
     }
 }
--- a/src/cmd/node_settings.rs
+++ b/src/cmd/node_settings.rs
@@ -16,20 +16,20 @@
 /// A flag of the daemon; its variable is its name in capitals after `AZURESADDLE_`.
 struct Flag {
     name: &'static str,
-    value: &'static str,
+    value_name: &'static str,
     default: Option<&'static str>,
     help: &'static str,
 }
 
 const fn flag(
     name: &'static str,
-    value: &'static str,
+    value_name: &'static str,
     default: Option<&'static str>,
     help: &'static str,
 ) -> Flag {
     Flag {
         name,
-        value,
+        value_name,
         default,
         help,
     }
@@ -158,9 +158,9 @@
     FLAGS.iter().map(|flag| {
         let arg = Arg::new(flag.name)
             .long(flag.name)
-            .env(variable(flag.name))
+            .env(env_variable(flag.name))
             .hide_env_values(true)
-            .value_name(flag.value)
+            .value_name(flag.value_name)
             .help(flag.help);
         match flag.default {
             Some(default) => arg.default_value(default),
@@ -173,7 +173,7 @@
 pub(super) fn traffic_threads(args: &ArgMatches) -> Result<usize> {
     let threads: usize = parse(args, "traffic-threads", "must be a number of at least 1")?;
     if threads == 0 {
-        return Err(bad("traffic-threads", "0", "must be at least 1"));
+        return Err(bad_value("traffic-threads", "0", "must be at least 1"));
     }
     Ok(threads)
 }
@@ -212,20 +212,20 @@
 fn required<'a>(args: &'a ArgMatches, name: &'static str) -> Result<&'a str> {
     let value = args.get_one::<String>(name).map(String::as_str);
     value.filter(|v| !v.is_empty()).ok_or_else(|| {
-        let detail = format!("--{name} or {} is needed", variable(name));
+        let detail = format!("--{name} or {} is needed", env_variable(name));
         BadInput(detail).into()
     })
 }
 
 fn parse<T: FromStr>(args: &ArgMatches, name: &str, expected: &str) -> Result<T> {
     let value = args.get_one::<String>(name).expect("has a default");
-    value.parse().map_err(|_| bad(name, value, expected))
+    value.parse().map_err(|_| bad_value(name, value, expected))
 }
 
 fn parse_ms(args: &ArgMatches, name: &str) -> Result<Duration> {
     let ms: u64 = parse(args, name, "must be a number of milliseconds, at least 1")?;
     if ms == 0 {
-        return Err(bad(name, "0", "must be at least 1"));
+        return Err(bad_value(name, "0", "must be at least 1"));
     }
     Ok(Duration::from_millis(ms))
 }
@@ -238,14 +238,14 @@
         }
         _ => "must be an IP number and a port, such as 10.0.0.1:7000",
     };
-    value.parse().map_err(|_| bad(name, value, hint))
+    value.parse().map_err(|_| bad_value(name, value, hint))
 }
 
-fn bad(name: &str, value: impl Display, expected: &str) -> anyhow::Error {
+fn bad_value(name: &str, value: impl Display, expected: &str) -> anyhow::Error {
     BadInput(format!("--{name} {value}: {expected}")).into()
 }
 
-fn variable(name: &str) -> String {
+fn env_variable(name: &str) -> String {
     format!("AZURESADDLE_{}", name.replace('-', "_").to_uppercase())
 }
 
@@ -263,6 +263,6 @@
             Some(_) => "default",
             None => "unset",
         };
-        output::line(format!("{:<22} {value:<24} {source}", flag.name));
+        output::print_line(format!("{:<22} {value:<24} {source}", flag.name));
     }
 }
--- a/src/cmd/output.rs
+++ b/src/cmd/output.rs
@@ -3,19 +3,19 @@
 use std::io::Write;
 
 /// Prints a line; a closed pipe ends the output, not the process.
-pub(crate) fn line(text: impl AsRef<str>) {
+pub(crate) fn print_line(text: impl AsRef<str>) {
     let _ = writeln!(std::io::stdout(), "{}", text.as_ref());
 }
 
 /// Prints text without a line end, at once.
-pub(crate) fn text(text: &str) {
+pub(crate) fn print_text(text: &str) {
     let mut out = std::io::stdout();
     let _ = out.write_all(text.as_bytes());
     let _ = out.flush();
 }
 
 /// Prints a value as indented JSON.
-pub(crate) fn json<T: serde::Serialize>(value: &T) -> anyhow::Result<()> {
-    line(serde_json::to_string_pretty(value)?);
+pub(crate) fn print_json<T: serde::Serialize>(value: &T) -> anyhow::Result<()> {
+    print_line(serde_json::to_string_pretty(value)?);
     Ok(())
 }
--- a/src/cmd/pools.rs
+++ b/src/cmd/pools.rs
@@ -18,14 +18,14 @@
     let path = "/admin/v1/pools";
     let rows: Vec<PoolRow> =
         client_runtime()?.block_on(async { AdminClient::new(args).get(path).await })?;
-    output::line(format!(
+    output::print_line(format!(
         "{:<28} {:<12} {:>6} {:>8} {:>8} {:>8} {:>12}",
         "pool", "owner", "epoch", "targets", "waiting", "running", "long wait ms"
     ));
     for row in rows {
         let owner = row.owner.as_ref().map_or("none", |owner| owner.as_str());
         let digest = row.digest.as_ref();
-        output::line(format!(
+        output::print_line(format!(
             "{:<28} {owner:<12} {:>6} {:>8} {:>8} {:>8} {:>12}",
             row.pool,
             row.epoch.0,
--- a/src/cmd/quarantine.rs
+++ b/src/cmd/quarantine.rs
@@ -50,17 +50,17 @@
 }
 
 fn client(args: &ArgMatches) -> AdminClient {
-    AdminClient::at(*args.get_one("node").expect("is required"))
+    AdminClient::without_token(*args.get_one("node").expect("is required"))
 }
 
 async fn list(args: &ArgMatches) -> Result<()> {
     let all: Vec<QuarantinedRequest> = client(args).get(QUARANTINE_PATH).await?;
-    output::line(format!(
+    output::print_line(format!(
         "{:<32} {:>13} {:>10}",
         "fingerprint", "targets ended", "left"
     ));
     for request in all {
-        output::line(format!(
+        output::print_line(format!(
             "{:<32} {:>13} {:>8} s",
             request.fingerprint, request.targets_ended, request.left_s
         ));
@@ -74,7 +74,7 @@
     let answer = client(args).call(Method::DELETE, &path, &()).await?;
     match answer.status {
         status if status.is_success() => {
-            output::line(format!("quarantine of {request} ended"));
+            output::print_line(format!("quarantine of {request} ended"));
             Ok(())
         }
         StatusCode::NOT_FOUND => bail!("nothing is held against {request} at this node"),
--- a/src/cmd/rules.rs
+++ b/src/cmd/rules.rs
@@ -22,7 +22,7 @@
         .subcommand(
             Command::new("check")
                 .about("Checks a rules file without sending it")
-                .arg(file("FILE", "The rules, as JSON")),
+                .arg(file_arg("FILE", "The rules, as JSON")),
         )
         .subcommand(
             Command::new("get")
@@ -32,7 +32,7 @@
         .subcommand(
             Command::new("put")
                 .about("Replaces the rules, if they still have the version they are based on")
-                .arg(file("FILE", "The rules, as JSON"))
+                .arg(file_arg("FILE", "The rules, as JSON"))
                 .arg(
                     Arg::new("base")
                         .long("base")
@@ -58,7 +58,7 @@
         .subcommand(
             Command::new("explain")
                 .about("Says which rule decides about a request, and why the others do not")
-                .arg(file("FILE", "The request's properties, as JSON"))
+                .arg(file_arg("FILE", "The request's properties, as JSON"))
                 .arg(
                     Arg::new("rules")
                         .long("rules")
@@ -70,7 +70,7 @@
         )
 }
 
-fn file(name: &'static str, help: &'static str) -> Arg {
+fn file_arg(name: &'static str, help: &'static str) -> Arg {
     Arg::new(name)
         .value_parser(value_parser!(PathBuf))
         .required(true)
@@ -90,20 +90,20 @@
 
 fn execute_check(args: &ArgMatches) -> Result<()> {
     let document: RulesDocument = read_file(args, "FILE")?;
-    accept(&check(&document))?;
-    output::line(format!("{} rules, no errors", document.rules.len()));
+    report_findings(&check(&document))?;
+    output::print_line(format!("{} rules, no errors", document.rules.len()));
     Ok(())
 }
 
 fn execute_get(args: &ArgMatches) -> Result<()> {
-    let record = client_runtime()?.block_on(stored(args))?;
-    output::line(format!("version {}", record.version));
-    output::json(&record.document)
+    let record = client_runtime()?.block_on(fetch_rules(args))?;
+    output::print_line(format!("version {}", record.version));
+    output::print_json(&record.document)
 }
 
 fn execute_put(args: &ArgMatches) -> Result<()> {
     let document: RulesDocument = read_file(args, "FILE")?;
-    accept(&check(&document))?;
+    report_findings(&check(&document))?;
     let put = PutRules {
         base: RulesVersion(*args.get_one("base").expect("is required")),
         comment: args
@@ -124,10 +124,10 @@
                     put.base
                 )
             }
-            StatusCode::UNPROCESSABLE_ENTITY => accept(&answer.read()?),
+            StatusCode::UNPROCESSABLE_ENTITY => report_findings(&answer.read()?),
             _ => {
                 let record: RulesRecord = answer.success()?;
-                output::line(format!("version {} accepted", record.version));
+                output::print_line(format!("version {} accepted", record.version));
                 Ok(())
             }
         }
@@ -135,9 +135,9 @@
 }
 
 fn execute_history(args: &ArgMatches) -> Result<()> {
-    let record = client_runtime()?.block_on(stored(args))?;
+    let record = client_runtime()?.block_on(fetch_rules(args))?;
     for change in record.history {
-        output::line(format!(
+        output::print_line(format!(
             "version {:>6}  at {} ms  {}",
             change.version.0, change.at_unix_ms, change.comment
         ));
@@ -158,8 +158,8 @@
             anyhow::Ok(reply.rules)
         })?
     };
-    for line in rules {
-        let outcome = match line.outcome {
+    for explanation in rules {
+        let outcome = match explanation.outcome {
             RuleOutcome::Matched => "decides".to_owned(),
             RuleOutcome::Mismatched(condition) => {
                 format!(
@@ -169,19 +169,19 @@
             }
             RuleOutcome::NotReached => "not reached".to_owned(),
         };
-        output::line(format!("{:<24} {outcome}", line.rule));
+        output::print_line(format!("{:<24} {outcome}", explanation.rule));
     }
     Ok(())
 }
 
-async fn stored(args: &ArgMatches) -> Result<RulesRecord> {
+async fn fetch_rules(args: &ArgMatches) -> Result<RulesRecord> {
     AdminClient::new(args).get("/admin/v1/rules").await
 }
 
 /// Prints findings; errors among them make the input unusable.
-fn accept(report: &CheckReport) -> Result<()> {
+fn report_findings(report: &CheckReport) -> Result<()> {
     for finding in &report.findings {
-        output::line(finding.to_string());
+        output::print_line(finding.to_string());
     }
     if report.is_acceptable() {
         return Ok(());
--- a/src/cmd/serve.rs
+++ b/src/cmd/serve.rs
@@ -17,10 +17,10 @@
 use super::BadInput;
 
 /// Log lines that wait to be written; more are dropped and counted.
-const MAX_WAITING_LINES: usize = 4096;
+const MAX_QUEUED_LINES: usize = 4096;
 
 /// The running log; the last lines are written when it is dropped.
-struct Log {
+struct LogWriter {
     /// Lines that found the queue full.
     dropped: ErrorCounter,
     _guard: WorkerGuard,
@@ -78,13 +78,13 @@
     let port = args.get_one::<u16>("metrics-port").copied();
     let options = NodeOptions {
         metrics_port: port.filter(|p| *p != 0),
-        without: switched_off(args)?,
+        without: disabled_mechanisms(args)?,
     };
     let without = options.without.iter().map(|m| m.name());
     let without = without.collect::<Vec<_>>().join(",");
     // A host lets one thread run at a time, so traffic and control have one each.
-    let traffic = current_thread()?;
-    let control = current_thread()?;
+    let traffic = single_thread_runtime()?;
+    let control = single_thread_runtime()?;
     let control_handle = control.handle().clone();
     std::thread::Builder::new()
         .name("control".to_owned())
@@ -119,7 +119,7 @@
     })
 }
 
-fn switched_off(args: &ArgMatches) -> Result<Vec<Mechanism>> {
+fn disabled_mechanisms(args: &ArgMatches) -> Result<Vec<Mechanism>> {
     let names = args.get_many::<String>("without").into_iter().flatten();
     let parsed = names.map(|n| n.parse().map_err(|e| anyhow!(BadInput(e))));
     parsed.collect()
@@ -134,19 +134,19 @@
     }
 }
 
-fn current_thread() -> Result<Runtime> {
+fn single_thread_runtime() -> Result<Runtime> {
     Ok(Builder::new_current_thread().enable_all().build()?)
 }
 
 /// Writes structured lines to standard output from a thread of their own, so that no request waits
 /// for whoever reads them.
-fn init_log(args: &ArgMatches) -> Log {
+fn init_log(args: &ArgMatches) -> LogWriter {
     let level = args
         .get_one::<String>("log-level")
         .map_or("info", String::as_str);
     let filter = format!("error,azuresaddle={level},azuresaddle_edge={level}");
     let (writer, guard): (NonBlocking, WorkerGuard) = NonBlockingBuilder::default()
-        .buffered_lines_limit(MAX_WAITING_LINES)
+        .buffered_lines_limit(MAX_QUEUED_LINES)
         .lossy(true)
         .finish(std::io::stdout());
     let dropped = writer.error_counter();
@@ -157,7 +157,7 @@
         .with_writer(writer)
         .with_env_filter(tracing_subscriber::EnvFilter::new(filter))
         .init();
-    Log {
+    LogWriter {
         dropped,
         _guard: guard,
     }
--- a/src/cmd/trace.rs
+++ b/src/cmd/trace.rs
@@ -5,10 +5,10 @@
 use serde_json::{Map, Value};
 
 use super::log_files;
-use super::output::line;
+use super::output::print_line;
 
 /// Fields that begin a line; the others follow in the order of their names.
-const FIRST_FIELDS: [&str; 4] = ["timestamp", "level", "part", "message"];
+const LEADING_FIELDS: [&str; 4] = ["timestamp", "level", "part", "message"];
 
 pub(crate) fn make_subcommand() -> Command {
     Command::new("trace")
@@ -31,38 +31,38 @@
             .map(|s| s.to_string_lossy().into_owned());
         let name = name.unwrap_or_default();
         let text = log.text.lines();
-        lines.extend(text.filter_map(|text| matching(text, id, &name)));
+        lines.extend(text.filter_map(|text| format_if_matching(text, id, &name)));
     }
     if lines.is_empty() {
         bail!("no line names the request {id:?}");
     }
     lines.sort();
     for (_, text) in lines {
-        line(text);
+        print_line(text);
     }
     Ok(())
 }
 
 /// Time and text of a line that names the request or its fingerprint; lines that are no JSON are passed over.
-fn matching(text: &str, id: &str, node: &str) -> Option<(String, String)> {
+fn format_if_matching(text: &str, id: &str, node: &str) -> Option<(String, String)> {
     let start = text.find('{')?;
     let fields: Map<String, Value> = serde_json::from_str(&text[start..]).ok()?;
-    let names = |field: &str| fields.get(field).and_then(Value::as_str) == Some(id);
-    if !names("request") && !names("fingerprint") {
+    let has_id = |field: &str| fields.get(field).and_then(Value::as_str) == Some(id);
+    if !has_id("request") && !has_id("fingerprint") {
         return None;
     }
-    let field = |name: &str| fields.get(name).map(plain).unwrap_or_default();
+    let field = |name: &str| fields.get(name).map(format_value).unwrap_or_default();
     let (at, part, message) = (field("timestamp"), field("part"), field("message"));
     let mut out = format!("{at} {node} {part}: {message}");
     for (name, value) in &fields {
-        if value.as_str() != Some(id) && !FIRST_FIELDS.contains(&name.as_str()) {
-            out.push_str(&format!(" {name}={}", plain(value)));
+        if value.as_str() != Some(id) && !LEADING_FIELDS.contains(&name.as_str()) {
+            out.push_str(&format!(" {name}={}", format_value(value)));
         }
     }
     Some((at, out))
 }
 
-fn plain(value: &Value) -> String {
+fn format_value(value: &Value) -> String {
     match value {
         Value::String(text) => text.clone(),
         other => other.to_string(),
