--- a/crates/azuresaddle-standin/src/capacity/idle.rs
+++ b/crates/azuresaddle-standin/src/capacity/idle.rs
@@ -8,10 +8,10 @@
 use crate::engine::EngineOptions;
 
 /// Virtual time that is measured, in seconds.
-const MEASURED_S: u64 = 60;
+const MEASUREMENT_S: u64 = 60;
 
 /// Virtual time before, in which owners are found.
-const SETTLE: Duration = Duration::from_secs(15);
+const WARM_UP: Duration = Duration::from_secs(15);
 
 /// Cost of control for each node and second, without requests.
 #[derive(Clone, Copy, Debug)]
@@ -45,13 +45,13 @@
     runtime.block_on(async {
         let spec = ClusterSpec::uniform(nodes, engines, 0, &EngineOptions::default());
         let cluster = Cluster::open(MemoryHosts::default(), spec, |_| {}).await?;
-        tokio::time::sleep(SETTLE).await;
+        tokio::time::sleep(WARM_UP).await;
         let (before, bytes) = (cluster.store.counts(), cluster.places.fabric.bytes());
         let started = WallInstant::now();
-        tokio::time::sleep(Duration::from_secs(MEASURED_S)).await;
+        tokio::time::sleep(Duration::from_secs(MEASUREMENT_S)).await;
         let cpu = started.elapsed();
         let after = cluster.store.counts();
-        let each = |total: u64| total as f64 / nodes as f64 / MEASURED_S as f64;
+        let each = |total: u64| total as f64 / nodes as f64 / MEASUREMENT_S as f64;
         Ok(IdleCost {
             nodes,
             engines,
@@ -59,7 +59,7 @@
             watches: each(after.watches - before.watches),
             lease_writes: each(after.lease_writes - before.lease_writes),
             reads: each(after.reads - before.reads),
-            cpu_us: cpu.as_secs_f64() * 1e6 / nodes as f64 / MEASURED_S as f64,
+            cpu_us: cpu.as_secs_f64() * 1e6 / nodes as f64 / MEASUREMENT_S as f64,
         })
     })
 }
--- a/crates/azuresaddle-standin/src/capacity/memory.rs
+++ b/crates/azuresaddle-standin/src/capacity/memory.rs
@@ -28,16 +28,16 @@
 pub fn measure_memory() -> Result<Vec<MemoryCost>> {
     let mut costs = Vec::new();
     for count in [10_000, 20_000, 40_000] {
-        costs.push(cost("waiting request", count, || pool_with(1, count))?);
+        costs.push(measure("waiting request", count, || pool_with(1, count))?);
     }
     for count in [256, 512, 1_024] {
         let make = || pool_with(count, count);
-        costs.push(cost("target with one reservation", count, make)?);
+        costs.push(measure("target with one reservation", count, make)?);
     }
     Ok(costs)
 }
 
-fn cost(name: &'static str, count: usize, make: impl FnOnce() -> Pool) -> Result<MemoryCost> {
+fn measure(name: &'static str, count: usize, make: impl FnOnce() -> Pool) -> Result<MemoryCost> {
     let before = resident_bytes()?;
     let pool = make();
     let after = resident_bytes()?;
@@ -69,7 +69,7 @@
         );
     }
     for n in 0..requests {
-        pool.enqueue(now, ask(now, n as u128));
+        pool.enqueue(now, reservation_request(now, n as u128));
     }
     if targets > 1 {
         pool.dispatch(now);
@@ -77,7 +77,7 @@
     pool
 }
 
-fn ask(now: Instant, number: u128) -> ReservationRequest {
+fn reservation_request(now: Instant, number: u128) -> ReservationRequest {
     ReservationRequest {
         stream: StreamId::first(RequestId(number)),
         node: HostName::new("entry-host-001"),
--- a/crates/azuresaddle-standin/src/cmd/experiment.rs
+++ b/crates/azuresaddle-standin/src/cmd/experiment.rs
@@ -61,8 +61,8 @@
         return Ok(());
     }
     let experiment: Experiment = super::args::get(args, "NAME");
-    let policies: Vec<Policy> = many(args, "policy").unwrap_or_else(|| Policy::ALL.to_vec());
-    let seeds: Vec<u64> = many(args, "seed").unwrap_or_else(|| vec![1, 2, 3]);
+    let policies: Vec<Policy> = values(args, "policy").unwrap_or_else(|| Policy::ALL.to_vec());
+    let seeds: Vec<u64> = values(args, "seed").unwrap_or_else(|| vec![1, 2, 3]);
     let rows = run_experiment(experiment, &mix, &policies, &seeds);
     if let Some(path) = args.get_one::<PathBuf>("plot") {
         let first: Vec<_> = rows
@@ -94,7 +94,7 @@
     }
 }
 
-fn many<T: Clone + Send + Sync + 'static>(args: &ArgMatches, name: &str) -> Option<Vec<T>> {
+fn values<T: Clone + Send + Sync + 'static>(args: &ArgMatches, name: &str) -> Option<Vec<T>> {
     Some(args.get_many::<T>(name)?.cloned().collect())
 }
 
--- a/crates/azuresaddle-standin/src/cmd/passes.rs
+++ b/crates/azuresaddle-standin/src/cmd/passes.rs
@@ -3,7 +3,9 @@
 use std::path::PathBuf;
 
 use anyhow::{Context, Result};
-use azuresaddle_standin::passes::{DayResults, PassPolicy, Placers, Sheet, Troubles, play_day};
+use azuresaddle_standin::passes::{
+    DayResults, Faults, PassPolicy, PoolLayout, Workload, simulate_day,
+};
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
 
 use super::args::say;
@@ -14,7 +16,7 @@
         .arg(
             Arg::new("sheet")
                 .long("sheet")
-                .value_parser(Sheet::NAMES)
+                .value_parser(Workload::NAMES)
                 .default_value("sabarmati")
                 .help("Kinds of requests and engines"),
         )
@@ -31,14 +33,14 @@
                 .long("trouble")
                 .value_name("TROUBLE")
                 .action(ArgAction::Append)
-                .value_parser(Troubles::NAMES)
+                .value_parser(Faults::NAMES)
                 .help("Something that goes wrong; may be given several times"),
         )
         .arg(
             Arg::new("placers")
                 .long("placers")
                 .value_name("PLACERS")
-                .value_parser(|text: &str| text.parse::<Placers>())
+                .value_parser(|text: &str| text.parse::<PoolLayout>())
                 .default_value("one")
                 .help("Who places on which engines: one, domains or pools-N"),
         )
@@ -67,11 +69,11 @@
 pub(crate) fn execute(args: &ArgMatches) -> Result<()> {
     let load: f64 = super::args::get(args, "load");
     let name: String = super::args::get(args, "sheet");
-    let mut sheet = Sheet::named(&name, load).expect("clap allows known names only");
+    let mut workload = Workload::named(&name, load).expect("clap allows known names only");
     for trouble in args.get_many::<String>("trouble").into_iter().flatten() {
-        sheet.troubles.add(trouble);
+        workload.faults.add(trouble);
     }
-    sheet.placers = super::args::get(args, "placers");
+    workload.pool_layout = super::args::get(args, "placers");
     let policies: Vec<PassPolicy> = args
         .get_many("policy")
         .map_or_else(|| PassPolicy::ALL.to_vec(), |all| all.copied().collect());
@@ -80,7 +82,7 @@
         .iter()
         .map(|policy| {
             (1..=days)
-                .map(|seed| play_day(&sheet, *policy, seed))
+                .map(|seed| simulate_day(&workload, *policy, seed))
                 .collect()
         })
         .collect();
--- a/crates/azuresaddle-standin/src/experiment/arrivals.rs
+++ b/crates/azuresaddle-standin/src/experiment/arrivals.rs
@@ -8,7 +8,7 @@
 use rand_distr::{Distribution, LogNormal};
 
 use super::mix::Mix;
-use super::results::SHORT_TOKENS;
+use super::results::MAX_SHORT_TOKENS;
 
 /// Standard deviations of the normal distribution above which one in fifty lies.
 const ONE_IN_FIFTY_Z: f64 = 2.053_749;
@@ -36,7 +36,7 @@
 }
 
 /// All requests of a mix, in the order of their arrival.
-pub fn make_requests(mix: &Mix, seed: u64) -> Vec<Request> {
+pub fn generate_requests(mix: &Mix, seed: u64) -> Vec<Request> {
     let mut rng = StdRng::seed_from_u64(seed);
     let lengths = Lengths::new(mix);
     let capacity = mix.engines.count as f64 * mix.engines.prefill_rate;
@@ -57,12 +57,12 @@
             requests.push(request);
         }
     }
-    add_burst(mix, &mut rng, &mut requests);
+    draw_burst(mix, &mut rng, &mut requests);
     requests.sort_by_key(|r| r.at);
     requests
 }
 
-fn add_burst(mix: &Mix, rng: &mut StdRng, requests: &mut Vec<Request>) {
+fn draw_burst(mix: &Mix, rng: &mut StdRng, requests: &mut Vec<Request>) {
     let Some(burst) = mix.burst else {
         return;
     };
@@ -97,7 +97,7 @@
         account_name: ClientAccount::new(&chosen.name),
         prompt_tokens,
         answer_tokens: (answer as u64).clamp(1, MAX_ANSWER_TOKENS),
-        worth: if prompt_tokens <= SHORT_TOKENS {
+        worth: if prompt_tokens <= MAX_SHORT_TOKENS {
             chosen.short_worth
         } else {
             chosen.long_worth
--- a/crates/azuresaddle-standin/src/experiment/catalog.rs
+++ b/crates/azuresaddle-standin/src/experiment/catalog.rs
@@ -4,11 +4,11 @@
 
 use serde::Serialize;
 
-use super::arrivals::make_requests;
+use super::arrivals::generate_requests;
 use super::mix::{AccountMix, Burst, Fault, FaultKind, Mix};
 use super::policy::Policy;
-use super::results::{Results, SHORT_TOKENS};
-use super::world::simulate;
+use super::results::{MAX_SHORT_TOKENS, Results};
+use super::simulation::simulate;
 
 /// An experiment by name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -228,7 +228,7 @@
 fn run_row(variant: &str, mix: &Mix, policy: Policy, seed: u64) -> ExperimentRow {
     let results = run_paused(mix, policy, seed);
     let mut short_mix = mix.clone();
-    short_mix.lengths.keep_up_to = Some(SHORT_TOKENS);
+    short_mix.lengths.keep_up_to = Some(MAX_SHORT_TOKENS);
     let alone = run_paused(&short_mix, policy, seed);
     let last = results.short_by_account.len() - 1;
     let mut others = results.short_by_account[0].clone();
@@ -268,7 +268,7 @@
         .start_paused(true)
         .build()
         .expect("a runtime can be built");
-    let requests = make_requests(mix, seed);
+    let requests = generate_requests(mix, seed);
     runtime.block_on(simulate(mix, &requests, policy, seed))
 }
 
--- a/crates/azuresaddle-standin/src/experiment/immediate.rs
+++ b/crates/azuresaddle-standin/src/experiment/immediate.rs
@@ -22,14 +22,14 @@
     policy: Policy,
     mix: EngineMix,
     rng: StdRng,
-    turn: usize,
+    next_engine: usize,
     /// Orders and tokens on each engine that have not had their first token, and orders at all.
     backlog: Vec<f64>,
     outstanding: Vec<usize>,
     placed: std::collections::HashMap<StreamId, (Vec<usize>, f64, bool)>,
     /// Changes of the backlog that the lagged view has not seen.
-    unseen: VecDeque<(Instant, usize, f64)>,
-    lagged: Vec<f64>,
+    pending_changes: VecDeque<(Instant, usize, f64)>,
+    lagged_backlog: Vec<f64>,
     actions: Vec<Action>,
     pub(super) names: Vec<HostName>,
 }
@@ -40,35 +40,35 @@
             policy,
             mix,
             rng: StdRng::seed_from_u64(seed),
-            turn: 0,
+            next_engine: 0,
             backlog: vec![0.0; mix.count],
             outstanding: vec![0; mix.count],
             placed: Default::default(),
-            unseen: VecDeque::new(),
-            lagged: vec![0.0; mix.count],
+            pending_changes: VecDeque::new(),
+            lagged_backlog: vec![0.0; mix.count],
             actions: Vec::new(),
             names,
         }
     }
 
-    pub(super) fn enqueue(&mut self, now: Instant, ask: &ReservationRequest) {
-        self.see(now);
-        let members = Engines::members(&self.mix, ask.memory_tokens());
+    pub(super) fn enqueue(&mut self, now: Instant, request: &ReservationRequest) {
+        self.apply_lagged_changes(now);
+        let members = Engines::required_engines(&self.mix, request.memory_tokens());
         let usable: Vec<usize> = (0..self.mix.count)
-            .filter(|e| !ask.exclude.contains(&self.names[*e]))
+            .filter(|e| !request.exclude.contains(&self.names[*e]))
             .collect();
         let engines = self.choose(&usable, members.min(usable.len()));
-        let share = ask.prompt_tokens as f64 / members as f64;
+        let share = request.prompt_tokens as f64 / members as f64;
         for e in &engines {
-            self.add(now, *e, share);
+            self.add_backlog(now, *e, share);
             self.outstanding[*e] += 1;
         }
         self.actions.push(Action::Reserved(Grant {
-            stream: ask.stream,
+            stream: request.stream,
             targets: engines.iter().map(|e| self.names[*e].clone()).collect(),
-            memory_tokens: ask.memory_tokens().div_ceil(members as u64),
+            memory_tokens: request.memory_tokens().div_ceil(members as u64),
         }));
-        self.placed.insert(ask.stream, (engines, share, false));
+        self.placed.insert(request.stream, (engines, share, false));
     }
 
     pub(super) fn first_token(&mut self, now: Instant, stream: StreamId) {
@@ -78,7 +78,7 @@
         if !std::mem::replace(seen, true) {
             let (engines, share) = (engines.clone(), *share);
             for e in engines {
-                self.add(now, e, -share);
+                self.add_backlog(now, e, -share);
             }
         }
     }
@@ -100,9 +100,9 @@
         let mut order: Vec<usize> = usable.to_vec();
         match self.policy {
             Policy::RoundRobin => {
-                self.turn += members;
-                let turn = self.turn;
-                order.rotate_left(turn % usable.len());
+                self.next_engine += members;
+                let next = self.next_engine;
+                order.rotate_left(next % usable.len());
             }
             Policy::LeastOutstanding => order.sort_by_key(|e| self.outstanding[*e]),
             Policy::LeastBacklog => {
@@ -124,7 +124,7 @@
         for _ in 0..members {
             let one = self.rng.random_range(0..left.len());
             let two = self.rng.random_range(0..left.len());
-            let better = if self.lagged[left[one]] <= self.lagged[left[two]] {
+            let better = if self.lagged_backlog[left[one]] <= self.lagged_backlog[left[two]] {
                 one
             } else {
                 two
@@ -134,18 +134,18 @@
         chosen
     }
 
-    fn add(&mut self, now: Instant, engine: usize, tokens: f64) {
+    fn add_backlog(&mut self, now: Instant, engine: usize, tokens: f64) {
         self.backlog[engine] += tokens;
-        self.unseen.push_back((now, engine, tokens));
+        self.pending_changes.push_back((now, engine, tokens));
     }
 
-    fn see(&mut self, now: Instant) {
-        while let Some((at, engine, tokens)) = self.unseen.front().copied() {
+    fn apply_lagged_changes(&mut self, now: Instant) {
+        while let Some((at, engine, tokens)) = self.pending_changes.front().copied() {
             if at + LOAD_LAG > now {
                 return;
             }
-            self.lagged[engine] += tokens;
-            self.unseen.pop_front();
+            self.lagged_backlog[engine] += tokens;
+            self.pending_changes.pop_front();
         }
     }
 }
--- a/crates/azuresaddle-standin/src/experiment/results.rs
+++ b/crates/azuresaddle-standin/src/experiment/results.rs
@@ -9,21 +9,21 @@
 use super::mix::{EngineMix, Mix};
 
 /// Longest short prompt, in tokens.
-pub const SHORT_TOKENS: u64 = 8_192;
+pub const MAX_SHORT_TOKENS: u64 = 8_192;
 
 /// Upper bounds of the length classes, in tokens, with their names.
 const CLASSES: [(u64, &str); 4] = [
-    (SHORT_TOKENS, "to-8k"),
+    (MAX_SHORT_TOKENS, "to-8k"),
     (100_000, "8k-100k"),
     (400_000, "100k-400k"),
     (u64::MAX, "over-400k"),
 ];
 
 /// Longest time that is told apart, in microseconds.
-const MAX_US: u64 = 7_200_000_000;
+const MAX_RECORDED_US: u64 = 7_200_000_000;
 
 /// Most of a slowdown that is told apart, in thousandths.
-const MAX_SLOWDOWN: u64 = 1_000_000_000;
+const MAX_RECORDED_SLOWDOWN: u64 = 1_000_000_000;
 
 /// Results of one length class.
 #[derive(Clone, Debug)]
@@ -69,11 +69,13 @@
 
 impl Results {
     pub(super) fn new(mix: &Mix) -> Self {
-        let times = || Histogram::new_with_max(MAX_US, 3).expect("constant bounds are valid");
+        let times =
+            || Histogram::new_with_max(MAX_RECORDED_US, 3).expect("constant bounds are valid");
         let classes = CLASSES.iter().map(|(_, name)| ClassResults {
             name,
             first_token_us: times(),
-            slowdown: Histogram::new_with_max(MAX_SLOWDOWN, 3).expect("constant bounds are valid"),
+            slowdown: Histogram::new_with_max(MAX_RECORDED_SLOWDOWN, 3)
+                .expect("constant bounds are valid"),
             refused: 0,
             missed: 0,
         });
@@ -93,29 +95,29 @@
         }
     }
 
-    pub(super) fn first_token(&mut self, request: &Request, took: Duration) {
-        let alone = self.alone(request);
+    pub(super) fn record_first_token(&mut self, request: &Request, took: Duration) {
+        let unloaded = self.unloaded_first_token(request);
         let us = u64::try_from(took.as_micros()).unwrap_or(u64::MAX);
-        let slowdown = (took.as_secs_f64() / alone.as_secs_f64() * 1000.0) as u64;
+        let slowdown = (took.as_secs_f64() / unloaded.as_secs_f64() * 1000.0) as u64;
         let class = self.class(request.prompt_tokens);
         class.first_token_us.saturating_record(us);
         class.slowdown.saturating_record(slowdown);
-        if request.prompt_tokens <= SHORT_TOKENS {
+        if request.prompt_tokens <= MAX_SHORT_TOKENS {
             self.short_by_account[request.account].saturating_record(us);
         }
     }
 
-    pub(super) fn whole(&mut self, request: &Request) {
+    pub(super) fn record_whole(&mut self, request: &Request) {
         self.whole += 1;
         self.worth += request.worth;
     }
 
-    pub(super) fn refused(&mut self, request: &Request) {
+    pub(super) fn record_refused(&mut self, request: &Request) {
         self.refused += 1;
         self.class(request.prompt_tokens).refused += 1;
     }
 
-    pub(super) fn missed(&mut self, request: &Request) {
+    pub(super) fn record_missed(&mut self, request: &Request) {
         self.missed += 1;
         self.class(request.prompt_tokens).missed += 1;
     }
@@ -140,9 +142,9 @@
     }
 
     /// Time to first token of a request alone on empty engines.
-    fn alone(&self, request: &Request) -> Duration {
+    fn unloaded_first_token(&self, request: &Request) -> Duration {
         let memory = request.prompt_tokens + super::arrivals::MAX_ANSWER_TOKENS;
-        let members = Engines::members(&self.engines, memory) as f64;
+        let members = Engines::required_engines(&self.engines, memory) as f64;
         let prefill = request.prompt_tokens as f64 / (self.engines.prefill_rate * members);
         Duration::from_secs_f64(prefill.max(1e-6))
     }
--- a/crates/azuresaddle-standin/src/experiment/pool_policy.rs
+++ b/crates/azuresaddle-standin/src/experiment/scheduler.rs
@@ -9,12 +9,12 @@
 use super::policy::Policy;
 
 /// What decides in an experiment.
-pub(super) enum Decider {
+pub(super) enum Scheduler {
     Pool(Box<Pool>),
     Immediate(Box<Immediate>),
 }
 
-impl Decider {
+impl Scheduler {
     pub(super) fn new(now: Instant, policy: Policy, mix: EngineMix, seed: u64) -> Self {
         let names: Vec<_> = (0..mix.count).map(engine_name).collect();
         let Some(options) = policy.pool_options() else {
@@ -43,10 +43,10 @@
         Self::Pool(Box::new(pool))
     }
 
-    pub(super) fn enqueue(&mut self, now: Instant, ask: ReservationRequest) {
+    pub(super) fn enqueue(&mut self, now: Instant, request: ReservationRequest) {
         match self {
-            Self::Pool(pool) => pool.enqueue(now, ask),
-            Self::Immediate(policy) => policy.enqueue(now, &ask),
+            Self::Pool(pool) => pool.enqueue(now, request),
+            Self::Immediate(policy) => policy.enqueue(now, &request),
         }
     }
 
@@ -65,7 +65,7 @@
     }
 
     /// Notes that an attempt failed on an engine that does not confirm its end.
-    pub(super) fn suspect(&mut self, now: Instant, stream: StreamId) {
+    pub(super) fn on_unconfirmed_failure(&mut self, now: Instant, stream: StreamId) {
         match self {
             Self::Pool(pool) => pool.on_unconfirmed_failure(now, stream),
             Self::Immediate(policy) => policy.end(now, stream),
--- a/crates/azuresaddle-standin/src/experiment/world.rs
+++ b/crates/azuresaddle-standin/src/experiment/simulation.rs
@@ -9,11 +9,11 @@
 use tokio::time::Instant;
 
 use super::arrivals::{MAX_ANSWER_TOKENS, Request};
-use super::engine_model::{EngineOrder, Engines, OrderId};
+use super::engine_model::{EngineJob, Engines, JobId};
 use super::mix::{FaultKind, Mix};
 use super::policy::Policy;
-use super::pool_policy::{Decider, engine_name};
 use super::results::Results;
+use super::scheduler::{Scheduler, engine_name};
 
 /// Silence after which a node gives a target up.
 const TARGET_TIMEOUT: Duration = Duration::from_secs(3);
@@ -29,29 +29,29 @@
 enum Event {
     Arrive(usize),
     /// An order reaches its engines.
-    Order(OrderId),
-    PrefillEnds(OrderId),
-    AnswerEnds(OrderId),
+    JobArrival(JobId),
+    PrefillEnds(JobId),
+    AnswerEnds(JobId),
     /// The owner hears of a first token.
-    FirstTokenHeard(OrderId),
+    FirstTokenReported(JobId),
     /// The owner hears of an end.
-    EndHeard(OrderId),
+    EndReported(JobId),
     /// A node gives up on an order whose engine is silent.
-    GivenUp(OrderId),
+    AttemptFailed(JobId),
     Deadline(usize),
     Fault(usize),
     Wakeup,
 }
 
-struct World<'a> {
+struct Simulation<'a> {
     mix: &'a Mix,
     requests: &'a [Request],
-    decider: Decider,
+    scheduler: Scheduler,
     engines: Engines,
-    orders: Vec<EngineOrder>,
-    /// Request and attempt of each order.
+    jobs: Vec<EngineJob>,
+    /// Request and attempt of each job.
     streams: Vec<StreamId>,
-    live: HashMap<StreamId, OrderId>,
+    live: HashMap<StreamId, JobId>,
     state: Vec<RequestState>,
     events: BinaryHeap<Reverse<(Instant, u64, Event)>>,
     sequence: u64,
@@ -64,7 +64,7 @@
 struct RequestState {
     attempt: u8,
     exclude: Vec<HostName>,
-    first_token: bool,
+    has_first_token: bool,
     ended: bool,
     ran: u32,
 }
@@ -72,12 +72,12 @@
 /// Runs all requests to their ends.
 pub async fn simulate(mix: &Mix, requests: &[Request], policy: Policy, seed: u64) -> Results {
     let start = Instant::now();
-    let mut world = World {
+    let mut simulation = Simulation {
         mix,
         requests,
-        decider: Decider::new(start, policy, mix.engines, seed),
+        scheduler: Scheduler::new(start, policy, mix.engines, seed),
         engines: Engines::new(mix.engines),
-        orders: Vec::new(),
+        jobs: Vec::new(),
         streams: Vec::new(),
         live: HashMap::new(),
         state: vec![RequestState::default(); requests.len()],
@@ -88,19 +88,19 @@
         results: Results::new(mix),
     };
     for (i, request) in requests.iter().enumerate() {
-        world.push(start + request.at, Event::Arrive(i));
+        simulation.push(start + request.at, Event::Arrive(i));
     }
     for (i, fault) in mix.faults.iter().enumerate() {
-        world.push(start + Duration::from_secs_f64(fault.at_s), Event::Fault(i));
+        simulation.push(start + Duration::from_secs_f64(fault.at_s), Event::Fault(i));
     }
-    while let Some(Reverse((at, _, event))) = world.events.pop() {
+    while let Some(Reverse((at, _, event))) = simulation.events.pop() {
         tokio::time::sleep_until(at).await;
-        world.handle(at, event);
+        simulation.handle(at, event);
     }
-    world.finish()
+    simulation.finish()
 }
 
-impl World<'_> {
+impl Simulation<'_> {
     fn push(&mut self, at: Instant, event: Event) {
         self.sequence += 1;
         self.events.push(Reverse((at, self.sequence, event)));
@@ -115,36 +115,36 @@
             Event::Arrive(i) => {
                 let deadline = now + Duration::from_secs_f64(self.mix.deadline_s);
                 self.push(deadline, Event::Deadline(i));
-                self.ask(now, i);
+                self.request_reservation(now, i);
             }
-            Event::Order(id) => self.on_order(now, id),
+            Event::JobArrival(id) => self.on_job_arrival(now, id),
             Event::PrefillEnds(id) => self.on_prefill_ends(now, id),
             Event::AnswerEnds(id) => self.on_answer_ends(now, id),
-            Event::FirstTokenHeard(id) => self.decider.first_token(now, self.streams[id]),
-            Event::EndHeard(id) => {
-                let tokens = self.orders[id].answer_tokens as u32;
+            Event::FirstTokenReported(id) => self.scheduler.first_token(now, self.streams[id]),
+            Event::EndReported(id) => {
+                let tokens = self.jobs[id].answer_tokens as u32;
                 let outcome = Outcome::Done { tokens };
-                self.decider.end(now, self.streams[id], outcome);
+                self.scheduler.end(now, self.streams[id], outcome);
             }
-            Event::GivenUp(id) => self.on_given_up(now, id),
+            Event::AttemptFailed(id) => self.on_attempt_failed(now, id),
             Event::Deadline(i) => self.on_deadline(now, i),
             Event::Fault(i) => self.on_fault(now, i),
             // One that was planned anew for an earlier time is stale.
             Event::Wakeup if self.wakeup != Some(now) => return,
             Event::Wakeup => self.wakeup = None,
         }
-        self.carry_out(now);
+        self.apply_actions(now);
     }
 
     /// Asks for a reservation for a request's present attempt.
-    fn ask(&mut self, now: Instant, i: usize) {
+    fn request_reservation(&mut self, now: Instant, i: usize) {
         let request = &self.requests[i];
         let state = &self.state[i];
         let stream = StreamId {
             request: RequestId(i as u128),
             attempt: state.attempt,
         };
-        let ask = ReservationRequest {
+        let request = ReservationRequest {
             stream,
             node: HostName::new("n"),
             account: request.account_name.clone(),
@@ -158,37 +158,37 @@
             limits: Default::default(),
             exclude: state.exclude.clone(),
         };
-        self.decider.enqueue(now, ask);
+        self.scheduler.enqueue(now, request);
     }
 
     /// Carries out what the policy decided, and plans its next wakeup.
-    fn carry_out(&mut self, now: Instant) {
-        for action in self.decider.dispatch(now) {
+    fn apply_actions(&mut self, now: Instant) {
+        for action in self.scheduler.dispatch(now) {
             match action {
                 Action::Reserved(grant) => {
                     let request = grant.stream.request.0 as usize;
-                    let engines = grant.targets.iter().map(number_of).collect();
-                    let id = self.orders.len();
-                    self.orders.push(EngineOrder {
+                    let engines = grant.targets.iter().map(engine_number).collect();
+                    let id = self.jobs.len();
+                    self.jobs.push(EngineJob {
                         engines,
-                        memory: grant.memory_tokens,
+                        memory_tokens: grant.memory_tokens,
                         prompt_tokens: self.requests[request].prompt_tokens,
                         answer_tokens: self.requests[request].answer_tokens,
                     });
                     self.streams.push(grant.stream);
                     self.live.insert(grant.stream, id);
                     // To the node, and from there to the engine.
-                    self.push(now + self.delay() * 2, Event::Order(id));
+                    self.push(now + self.delay() * 2, Event::JobArrival(id));
                 }
                 Action::Refused { stream, .. } => {
                     let i = stream.request.0 as usize;
                     if !std::mem::replace(&mut self.state[i].ended, true) {
-                        self.results.refused(&self.requests[i]);
+                        self.results.record_refused(&self.requests[i]);
                     }
                 }
             }
         }
-        if let Some(at) = self.decider.next_wakeup(now)
+        if let Some(at) = self.scheduler.next_wakeup(now)
             && self.wakeup.is_none_or(|planned| at < planned)
         {
             self.wakeup = Some(at);
@@ -196,22 +196,22 @@
         }
     }
 
-    fn on_order(&mut self, now: Instant, id: OrderId) {
+    fn on_job_arrival(&mut self, now: Instant, id: JobId) {
         if self.live.get(&self.streams[id]) != Some(&id) {
             return;
         }
-        let order = self.orders[id].clone();
-        if self.engines.accept(id, &order) {
-            self.start_prefills(now, &order.engines);
+        let job = self.jobs[id].clone();
+        if self.engines.accept(id, &job) {
+            self.start_prefills(now, &job.engines);
         } else {
             // A dead host refuses connections at once.
-            self.push(now + self.delay(), Event::GivenUp(id));
+            self.push(now + self.delay(), Event::AttemptFailed(id));
         }
     }
 
     fn start_prefills(&mut self, now: Instant, engines: &[usize]) {
         for engine in engines {
-            while let Some((id, took)) = self.engines.start_next(*engine, &self.orders) {
+            while let Some((id, took)) = self.engines.start_next(*engine, &self.jobs) {
                 let i = self.streams[id].request.0 as usize;
                 self.state[i].ran += 1;
                 self.push(now + took, Event::PrefillEnds(id));
@@ -219,70 +219,70 @@
         }
     }
 
-    fn on_prefill_ends(&mut self, now: Instant, id: OrderId) {
-        if !self.runs(id) {
+    fn on_prefill_ends(&mut self, now: Instant, id: JobId) {
+        if !self.is_running(id) {
             return;
         }
         let i = self.streams[id].request.0 as usize;
-        let rest = self.engines.end_prefill(id, &self.orders[id]);
+        let rest = self.engines.end_prefill(id, &self.jobs[id]);
         self.push(now + rest, Event::AnswerEnds(id));
-        self.push(now + self.delay() * 2, Event::FirstTokenHeard(id));
-        if !self.state[i].first_token && !self.state[i].ended {
-            self.state[i].first_token = true;
+        self.push(now + self.delay() * 2, Event::FirstTokenReported(id));
+        if !self.state[i].has_first_token && !self.state[i].ended {
+            self.state[i].has_first_token = true;
             let took = now + self.delay() * 2 - self.start - self.requests[i].at;
-            self.results.first_token(&self.requests[i], took);
+            self.results.record_first_token(&self.requests[i], took);
         }
-        let engines = self.orders[id].engines.clone();
+        let engines = self.jobs[id].engines.clone();
         self.start_prefills(now, &engines);
     }
 
-    fn on_answer_ends(&mut self, now: Instant, id: OrderId) {
-        if !self.runs(id) {
+    fn on_answer_ends(&mut self, now: Instant, id: JobId) {
+        if !self.is_running(id) {
             return;
         }
         let i = self.streams[id].request.0 as usize;
-        self.engines.remove(id, &self.orders[id]);
+        self.engines.remove(id, &self.jobs[id]);
         self.live.remove(&self.streams[id]);
-        self.push(now + self.delay() * 2, Event::EndHeard(id));
+        self.push(now + self.delay() * 2, Event::EndReported(id));
         if std::mem::replace(&mut self.state[i].ended, true) {
             self.results.doubled += 1;
         } else {
-            self.results.whole(&self.requests[i]);
+            self.results.record_whole(&self.requests[i]);
         }
-        let engines = self.orders[id].engines.clone();
+        let engines = self.jobs[id].engines.clone();
         self.start_prefills(now, &engines);
     }
 
     /// Whether an order's stream exists on living engines.
-    fn runs(&self, id: OrderId) -> bool {
+    fn is_running(&self, id: JobId) -> bool {
         let is_live = self.live.get(&self.streams[id]) == Some(&id);
-        let order = &self.orders[id];
+        let job = &self.jobs[id];
         is_live
-            && order
+            && job
                 .engines
                 .iter()
                 .all(|e| self.engines.states[*e].streams.contains(&id))
     }
 
     /// A node tries another target after a failure.
-    fn on_given_up(&mut self, now: Instant, id: OrderId) {
+    fn on_attempt_failed(&mut self, now: Instant, id: JobId) {
         let stream = self.streams[id];
         let i = stream.request.0 as usize;
         if self.live.get(&stream) != Some(&id) {
             return;
         }
         self.live.remove(&stream);
-        let order = self.orders[id].clone();
-        let dead: Vec<_> = order
+        let job = self.jobs[id].clone();
+        let dead: Vec<_> = job
             .engines
             .iter()
-            .filter(|e| self.engines.states[**e].dead)
+            .filter(|e| self.engines.states[**e].is_dead)
             .collect();
         let names: Vec<_> = dead.iter().map(|e| engine_name(**e)).collect();
-        self.engines.remove(id, &order);
-        self.decider.suspect(now, stream);
+        self.engines.remove(id, &job);
+        self.scheduler.on_unconfirmed_failure(now, stream);
         // The platform replaces a dead host's list entry in time; the ledger lets go with it.
-        self.decider.end(now, stream, Outcome::TargetFailed);
+        self.scheduler.end(now, stream, Outcome::TargetFailed);
         let state = &mut self.state[i];
         state.exclude.extend(names);
         state.attempt += 1;
@@ -294,25 +294,25 @@
             self.results.failed += 1;
             return;
         }
-        self.ask(now, i);
-        self.start_prefills(now, &order.engines);
+        self.request_reservation(now, i);
+        self.start_prefills(now, &job.engines);
     }
 
     fn on_deadline(&mut self, now: Instant, i: usize) {
         if std::mem::replace(&mut self.state[i].ended, true) {
             return;
         }
-        self.results.missed(&self.requests[i]);
+        self.results.record_missed(&self.requests[i]);
         let stream = StreamId {
             request: RequestId(i as u128),
             attempt: self.state[i].attempt,
         };
         if let Some(id) = self.live.remove(&stream) {
-            let order = self.orders[id].clone();
-            self.engines.remove(id, &order);
-            self.start_prefills(now, &order.engines);
+            let job = self.jobs[id].clone();
+            self.engines.remove(id, &job);
+            self.start_prefills(now, &job.engines);
         }
-        self.decider.end(now, stream, Outcome::Cancelled);
+        self.scheduler.end(now, stream, Outcome::Cancelled);
     }
 
     fn on_fault(&mut self, now: Instant, i: usize) {
@@ -321,13 +321,13 @@
             FaultKind::Slow(factor) => self.engines.states[fault.engine].slowdown = factor,
             FaultKind::Die => {
                 let state = &mut self.engines.states[fault.engine];
-                state.dead = true;
+                state.is_dead = true;
                 let streams = std::mem::take(&mut state.streams);
                 let queued = std::mem::take(&mut state.queue);
-                state.used = 0;
-                state.busy = None;
+                state.used_tokens = 0;
+                state.prefilling = None;
                 for id in streams.into_iter().chain(queued) {
-                    self.push(now + TARGET_TIMEOUT, Event::GivenUp(id));
+                    self.push(now + TARGET_TIMEOUT, Event::AttemptFailed(id));
                 }
             }
         }
@@ -335,13 +335,13 @@
 
     fn finish(mut self) -> Results {
         self.results.lost = self.state.iter().filter(|s| !s.ended).count() as u64;
-        let used: u64 = self.engines.states.iter().map(|s| s.used).sum();
-        self.results.memory_left = used.max(self.decider.reserved());
+        let used: u64 = self.engines.states.iter().map(|s| s.used_tokens).sum();
+        self.results.memory_left = used.max(self.scheduler.reserved());
         self.results
     }
 }
 
-fn number_of(name: &HostName) -> usize {
+fn engine_number(name: &HostName) -> usize {
     name.as_str()[1..]
         .parse()
         .expect("names are e and a number")
--- a/crates/azuresaddle-standin/src/passes/baseline.rs
+++ b/crates/azuresaddle-standin/src/passes/baseline.rs
@@ -7,7 +7,7 @@
 use super::policy::PassPolicy;
 
 /// Engines for a request, the first leads.
-pub(super) fn place(
+pub(super) fn choose_engines(
     policy: PassPolicy,
     engines: &[EngineModel],
     members: usize,
@@ -19,8 +19,8 @@
         .map(|(i, engine)| {
             let noise = rng.random::<f64>();
             let cost = match policy {
-                PassPolicy::LeastRequests => engine.load() as f64 + noise,
-                PassPolicy::LeastBacklog => engine.backlog_ms() + noise,
+                PassPolicy::LeastRequests => engine.stream_count() as f64 + noise,
+                PassPolicy::LeastBacklog => engine.prefill_backlog_ms() + noise,
                 _ => noise,
             };
             (cost, i)
--- a/crates/azuresaddle-standin/src/passes/engine.rs
+++ b/crates/azuresaddle-standin/src/passes/engine.rs
@@ -6,7 +6,7 @@
 
 /// A stream that writes.
 #[derive(Clone, Copy, Debug)]
-struct Writer {
+struct DecodingStream {
     stream: usize,
     context: u64,
     tokens_left: u64,
@@ -14,7 +14,7 @@
 
 /// A part of a prompt that is read here.
 #[derive(Clone, Copy, Debug)]
-struct Read {
+struct PrefillPart {
     stream: usize,
     tokens_left: u64,
     ms_per_token: f64,
@@ -22,11 +22,11 @@
 
 /// What a pass brought.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct PassEnd {
+pub struct PassResult {
     /// Streams that wrote an event, and whether it was the last.
     pub events: Vec<(usize, bool)>,
     /// Streams whose part here is read.
-    pub read: Vec<usize>,
+    pub prefilled: Vec<usize>,
 }
 
 /// One engine.
@@ -34,11 +34,11 @@
 pub struct EngineModel {
     spec: EngineSpec,
     pace: f64,
-    writers: Vec<Writer>,
+    decoding: Vec<DecodingStream>,
     /// Parts for other engines; read first.
-    helps: VecDeque<Read>,
-    own: VecDeque<Read>,
-    pass: Option<PassEnd>,
+    helper_parts: VecDeque<PrefillPart>,
+    lead_parts: VecDeque<PrefillPart>,
+    pass: Option<PassResult>,
 }
 
 impl EngineModel {
@@ -47,34 +47,40 @@
         Self {
             spec,
             pace,
-            writers: Vec::new(),
-            helps: VecDeque::new(),
-            own: VecDeque::new(),
+            decoding: Vec::new(),
+            helper_parts: VecDeque::new(),
+            lead_parts: VecDeque::new(),
             pass: None,
         }
     }
 
     /// Queues a part of a prompt of `prompt_tokens`, split evenly over `parts` engines.
-    pub fn add_read(&mut self, stream: usize, prompt_tokens: u64, parts: usize, is_help: bool) {
+    pub fn add_prefill(
+        &mut self,
+        stream: usize,
+        prompt_tokens: u64,
+        parts: usize,
+        is_helper: bool,
+    ) {
         let tokens = prompt_tokens.div_ceil(parts as u64).max(1);
         let steps = prompt_tokens as f64 / f64::from(self.spec.max_prefill_tokens_per_step);
-        let reading_ms = self.spec.prefill_ms(prompt_tokens) - steps * self.spec.step_ms;
-        let ms = reading_ms / parts as f64;
-        let read = Read {
+        let total_ms = self.spec.prefill_ms(prompt_tokens) - steps * self.spec.step_ms;
+        let ms = total_ms / parts as f64;
+        let part = PrefillPart {
             stream,
             tokens_left: tokens,
             ms_per_token: ms / tokens as f64,
         };
-        if is_help {
-            self.helps.push_back(read);
+        if is_helper {
+            self.helper_parts.push_back(part);
         } else {
-            self.own.push_back(read);
+            self.lead_parts.push_back(part);
         }
     }
 
     /// Starts to write an answer; its first event is out.
-    pub fn add_writer(&mut self, stream: usize, context: u64, tokens_left: u64) {
-        self.writers.push(Writer {
+    pub fn add_decode(&mut self, stream: usize, context: u64, tokens_left: u64) {
+        self.decoding.push(DecodingStream {
             stream,
             context,
             tokens_left,
@@ -83,12 +89,12 @@
 
     /// Forgets a stream, whose caller or another engine of it is gone.
     pub fn remove(&mut self, stream: usize) {
-        self.writers.retain(|w| w.stream != stream);
-        self.helps.retain(|r| r.stream != stream);
-        self.own.retain(|r| r.stream != stream);
+        self.decoding.retain(|s| s.stream != stream);
+        self.helper_parts.retain(|p| p.stream != stream);
+        self.lead_parts.retain(|p| p.stream != stream);
         if let Some(pass) = &mut self.pass {
             pass.events.retain(|(s, _)| *s != stream);
-            pass.read.retain(|s| *s != stream);
+            pass.prefilled.retain(|s| *s != stream);
         }
     }
 
@@ -98,54 +104,54 @@
     }
 
     /// Streams that write or wait to be read here.
-    pub fn load(&self) -> usize {
-        self.writers.len() + self.own.len()
+    pub fn stream_count(&self) -> usize {
+        self.decoding.len() + self.lead_parts.len()
     }
 
     /// Time to read all that waits here, in milliseconds.
-    pub fn backlog_ms(&self) -> f64 {
-        let reads = self.helps.iter().chain(&self.own);
-        reads.map(|r| r.tokens_left as f64 * r.ms_per_token).sum()
+    pub fn prefill_backlog_ms(&self) -> f64 {
+        let parts = self.helper_parts.iter().chain(&self.lead_parts);
+        parts.map(|p| p.tokens_left as f64 * p.ms_per_token).sum()
     }
 
     /// Begins the next pass and returns its time in milliseconds; `None` where there is no work.
     pub fn begin_pass(&mut self) -> Option<f64> {
-        if self.writers.is_empty() && self.own.is_empty() && self.helps.is_empty() {
+        if self.decoding.is_empty() && self.lead_parts.is_empty() && self.helper_parts.is_empty() {
             return None;
         }
-        let steps = if self.writers.is_empty() {
+        let steps = if self.decoding.is_empty() {
             // Everything that waits is read.
-            let reads = self.helps.iter().chain(&self.own);
-            let tokens: u64 = reads.map(|r| r.tokens_left).sum();
+            let parts = self.helper_parts.iter().chain(&self.lead_parts);
+            let tokens: u64 = parts.map(|p| p.tokens_left).sum();
             let per_step = u64::from(self.spec.max_prefill_tokens_per_step);
             u32::try_from(tokens.div_ceil(per_step)).unwrap_or(u32::MAX)
         } else {
             self.spec.steps_per_pass
         };
-        let context: u64 = self.writers.iter().map(|w| w.context).sum();
+        let context: u64 = self.decoding.iter().map(|s| s.context).sum();
         let step_ms = self.spec.step_ms
-            + self.spec.step_ms_per_stream * self.writers.len() as f64
+            + self.spec.step_ms_per_stream * self.decoding.len() as f64
             + self.spec.step_ms_per_1k_context * context as f64 / 1000.0;
-        let mut end = PassEnd::default();
+        let mut end = PassResult::default();
         let tokens = u64::from(self.spec.max_prefill_tokens_per_step) * u64::from(steps);
-        let read_ms = self.read(tokens, &mut end);
-        self.write(&mut end);
+        let prefill_ms = self.prefill(tokens, &mut end);
+        self.decode(&mut end);
         self.pass = Some(end);
-        Some((step_ms * f64::from(steps) + read_ms) * self.pace)
+        Some((step_ms * f64::from(steps) + prefill_ms) * self.pace)
     }
 
-    fn read(&mut self, mut tokens: u64, end: &mut PassEnd) -> f64 {
+    fn prefill(&mut self, mut tokens: u64, end: &mut PassResult) -> f64 {
         let mut ms = 0.0;
-        for queue in [&mut self.helps, &mut self.own] {
-            while let Some(read) = queue.front_mut()
+        for queue in [&mut self.helper_parts, &mut self.lead_parts] {
+            while let Some(part) = queue.front_mut()
                 && tokens > 0
             {
-                let taken = read.tokens_left.min(tokens);
+                let taken = part.tokens_left.min(tokens);
                 tokens -= taken;
-                read.tokens_left -= taken;
-                ms += taken as f64 * read.ms_per_token;
-                if read.tokens_left == 0 {
-                    end.read.push(read.stream);
+                part.tokens_left -= taken;
+                ms += taken as f64 * part.ms_per_token;
+                if part.tokens_left == 0 {
+                    end.prefilled.push(part.stream);
                     queue.pop_front();
                 }
             }
@@ -153,19 +159,19 @@
         ms
     }
 
-    fn write(&mut self, end: &mut PassEnd) {
+    fn decode(&mut self, end: &mut PassResult) {
         let steps = u64::from(self.spec.steps_per_pass);
-        for writer in &mut self.writers {
-            let written = writer.tokens_left.min(steps);
-            writer.tokens_left -= written;
-            writer.context += written;
-            end.events.push((writer.stream, writer.tokens_left == 0));
+        for stream in &mut self.decoding {
+            let written = stream.tokens_left.min(steps);
+            stream.tokens_left -= written;
+            stream.context += written;
+            end.events.push((stream.stream, stream.tokens_left == 0));
         }
-        self.writers.retain(|w| w.tokens_left > 0);
+        self.decoding.retain(|s| s.tokens_left > 0);
     }
 
     /// Ends the pass.
-    pub fn end_pass(&mut self) -> PassEnd {
+    pub fn end_pass(&mut self) -> PassResult {
         self.pass.take().unwrap_or_default()
     }
 }
--- a/crates/azuresaddle-standin/src/passes/troubles.rs
+++ b/crates/azuresaddle-standin/src/passes/faults.rs
@@ -1,37 +1,37 @@
 //! What goes wrong on a day in virtual time.
 
-/// Troubles of a day; none unless set.
+/// Faults of a day; none unless set.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Troubles {
+pub struct Faults {
     /// Time after which another node places, over and over, in seconds.
-    pub owner_term_s: Option<f64>,
+    pub owner_change_interval_s: Option<f64>,
     /// Engines that are slow all day.
-    pub slow: Option<SlowEngines>,
+    pub slow_engines: Option<SlowEngines>,
     /// An account that asks far more than the others.
     pub flood: Option<Flood>,
     /// Part of the engines that is gone for good.
-    pub gone_share: f64,
+    pub lost_engine_share: f64,
     /// Times that quick questions come as often in their own phase of the day; 0 for the usual.
-    pub quick_burst: f64,
+    pub quick_burst_factor: f64,
     /// The owner of a pool decides nothing for a while, over and over.
-    pub stall: Option<Stall>,
+    pub owner_stalls: Option<OwnerStall>,
     /// Two nodes place in the same pool for a while.
-    pub split_owner: Option<SplitOwner>,
+    pub split_brain: Option<SplitBrain>,
     /// Nodes that reach engines and callers, but no other node.
-    pub cut_off: Option<CutOff>,
+    pub isolated_nodes: Option<IsolatedNodes>,
     /// A request that ends each engine that begins to write its answer, and comes again and again.
-    pub crashing: Option<CrashingRequest>,
+    pub crashing_request: Option<CrashingRequest>,
     /// Engines that limit their rate for a while.
-    pub limited: Option<LimitedEngines>,
+    pub rate_limited: Option<RateLimitedEngines>,
 }
 
 /// Engines that name a limit for all nodes together.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct LimitedEngines {
+pub struct RateLimitedEngines {
     /// Their number; the first ones, on which short streams are packed.
     pub count: usize,
     /// Requests a second that each of them takes.
-    pub per_s: f64,
+    pub requests_per_s: f64,
     /// While they do.
     pub span: Span,
 }
@@ -42,23 +42,23 @@
     /// While it comes.
     pub span: Span,
     /// Attempts a second.
-    pub per_s: f64,
+    pub requests_per_s: f64,
     /// Time until another engine is there in the stead of one that ended, in seconds.
-    pub back_s: f64,
+    pub replacement_delay_s: f64,
 }
 
 /// Stalls of an owner.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Stall {
+pub struct OwnerStall {
     /// Time from one to the next, in seconds.
-    pub every_s: f64,
+    pub interval_s: f64,
     /// Time of one, in seconds.
-    pub for_s: f64,
+    pub duration_s: f64,
 }
 
 /// Two owners at a time; each gets half of the requests and knows only of these.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct SplitOwner {
+pub struct SplitBrain {
     /// Until all nodes agree again.
     pub span: Span,
 }
@@ -81,11 +81,11 @@
 
 /// Nodes that are cut off from all others, each alone.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct CutOff {
+pub struct IsolatedNodes {
     /// Their number.
-    pub nodes: usize,
+    pub count: usize,
     /// Part of the requests that they get.
-    pub share: f64,
+    pub request_share: f64,
     /// While they are cut off.
     pub span: Span,
 }
@@ -98,7 +98,7 @@
     /// When it ends, in seconds.
     pub to_s: f64,
     /// Requests a second.
-    pub per_s: f64,
+    pub requests_per_s: f64,
 }
 
 /// Engines that are slower than the others.
@@ -110,8 +110,8 @@
     pub pace: f64,
 }
 
-impl Troubles {
-    /// Names of the troubles that [`Troubles::add`] knows.
+impl Faults {
+    /// Names of the troubles that [`Faults::add`] knows.
     pub const NAMES: [&'static str; 11] = [
         "owner-changes",
         "slow-engines",
@@ -130,10 +130,10 @@
     pub fn add(&mut self, name: &str) {
         match name {
             // Restarts in series change the owner as often.
-            "owner-changes" => self.owner_term_s = Some(4.0),
+            "owner-changes" => self.owner_change_interval_s = Some(4.0),
             // About a sixth of the engines.
             "slow-engines" => {
-                self.slow = Some(SlowEngines {
+                self.slow_engines = Some(SlowEngines {
                     count: 3,
                     pace: 3.0,
                 });
@@ -143,28 +143,28 @@
                 self.flood = Some(Flood {
                     from_s: 13.0,
                     to_s: 19.0,
-                    per_s: 300.0,
+                    requests_per_s: 300.0,
                 });
             }
-            "few-engines" => self.gone_share = 0.3,
+            "few-engines" => self.lost_engine_share = 0.3,
             // With few engines about twice what these can do.
-            "quick-burst" => self.quick_burst = 1.4,
+            "quick-burst" => self.quick_burst_factor = 1.4,
             // What it takes to notice a killed owner.
             "short-stalls" => {
-                self.stall = Some(Stall {
-                    every_s: 8.0,
-                    for_s: 0.3,
+                self.owner_stalls = Some(OwnerStall {
+                    interval_s: 8.0,
+                    duration_s: 0.3,
                 });
             }
             // A frozen owner that is waited for.
             "long-stalls" => {
-                self.stall = Some(Stall {
-                    every_s: 8.0,
-                    for_s: 2.0,
+                self.owner_stalls = Some(OwnerStall {
+                    interval_s: 8.0,
+                    duration_s: 2.0,
                 });
             }
             "split-owner" => {
-                self.split_owner = Some(SplitOwner {
+                self.split_brain = Some(SplitBrain {
                     span: Span {
                         from_s: 15.0,
                         to_s: 18.0,
@@ -173,9 +173,9 @@
             }
             // A third of the nodes of a large fleet.
             "cut-off" => {
-                self.cut_off = Some(CutOff {
-                    nodes: 100,
-                    share: 0.33,
+                self.isolated_nodes = Some(IsolatedNodes {
+                    count: 100,
+                    request_share: 0.33,
                     span: Span {
                         from_s: 1.0,
                         to_s: 13.0,
@@ -184,20 +184,20 @@
             }
             // As callers of such a request were seen to repeat it.
             "crashing-request" => {
-                self.crashing = Some(CrashingRequest {
+                self.crashing_request = Some(CrashingRequest {
                     span: Span {
                         from_s: 8.0,
                         to_s: 20.0,
                     },
-                    per_s: 3.0,
-                    back_s: 3.5,
+                    requests_per_s: 3.0,
+                    replacement_delay_s: 3.5,
                 });
             }
             // A third of a small pool, as far below their share as engines in need were seen to ask.
             "limited-engines" => {
-                self.limited = Some(LimitedEngines {
+                self.rate_limited = Some(RateLimitedEngines {
                     count: 5,
-                    per_s: 1.9,
+                    requests_per_s: 1.9,
                     span: Span {
                         from_s: 8.0,
                         to_s: 24.0,
@@ -210,12 +210,12 @@
 
     /// Engines that are left of a number.
     pub(super) fn engines_left(&self, engines: usize) -> usize {
-        engines - (engines as f64 * self.gone_share) as usize
+        engines - (engines as f64 * self.lost_engine_share) as usize
     }
 
     /// Time of an engine's work against that of a usual engine.
     pub(super) fn pace(&self, engine: usize) -> f64 {
-        match self.slow {
+        match self.slow_engines {
             Some(slow) if engine < slow.count => slow.pace,
             _ => 1.0,
         }
--- a/crates/azuresaddle-standin/src/passes/mod.rs
+++ b/crates/azuresaddle-standin/src/passes/mod.rs
@@ -5,21 +5,21 @@
 //! the same figures.
 
 mod baseline;
-mod credit;
 mod engine;
-mod placers;
+mod faults;
 mod plot;
 mod policy;
-mod sheet;
-mod sheets;
-mod troubles;
-mod world;
+mod pool_layout;
+mod scoring;
+mod simulation;
+mod workload;
+mod workloads;
 
-pub use credit::{DayResults, KindResults};
-pub use engine::{EngineModel, PassEnd};
-pub use placers::Placers;
+pub use engine::{EngineModel, PassResult};
+pub use faults::{Faults, Flood, IsolatedNodes, OwnerStall, SlowEngines, Span, SplitBrain};
 pub use plot::plot_worth;
 pub use policy::PassPolicy;
-pub use sheet::{FLOODING, KindOfRequest, Sheet, SheetRequest, draw_requests};
-pub use troubles::{CutOff, Flood, SlowEngines, Span, SplitOwner, Stall, Troubles};
-pub use world::play_day;
+pub use pool_layout::PoolLayout;
+pub use scoring::{DayResults, KindResults};
+pub use simulation::simulate_day;
+pub use workload::{RequestKind, UNSCORED_ACCOUNT, Workload, WorkloadRequest, generate_requests};
--- a/crates/azuresaddle-standin/src/passes/plot.rs
+++ b/crates/azuresaddle-standin/src/passes/plot.rs
@@ -3,7 +3,7 @@
 use anyhow::{Result, anyhow};
 use plotters::prelude::*;
 
-use super::credit::DayResults;
+use super::scoring::DayResults;
 
 /// Size of a plot, in pixels.
 const SIZE: (u32, u32) = (900, 520);
--- a/crates/azuresaddle-standin/src/passes/credit.rs
+++ b/crates/azuresaddle-standin/src/passes/scoring.rs
@@ -2,7 +2,7 @@
 
 use serde::Serialize;
 
-use super::sheet::{FLOODING, Sheet, SheetRequest};
+use super::workload::{UNSCORED_ACCOUNT, Workload, WorkloadRequest};
 
 /// Length of the windows of which the two worst count, in milliseconds.
 const WINDOW_MS: f64 = 3000.0;
@@ -12,7 +12,7 @@
 
 /// How one request ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) enum End {
+pub(super) enum RequestOutcome {
     OnTime,
     Late,
     Lost,
@@ -60,11 +60,11 @@
 
 /// What happened on a day, by request.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct PlayedDay<'a> {
-    pub(super) requests: &'a [SheetRequest],
-    pub(super) ends: &'a [End],
+pub(super) struct SimulatedDay<'a> {
+    pub(super) requests: &'a [WorkloadRequest],
+    pub(super) outcomes: &'a [RequestOutcome],
     /// Time to the first event, in milliseconds.
-    pub(super) first_ms: &'a [Option<f64>],
+    pub(super) first_event_ms: &'a [Option<f64>],
     /// Part of the worth that is lost by holding a request without trying it.
     pub(super) held: &'a [f64],
     /// As in the results.
@@ -72,18 +72,23 @@
 }
 
 /// Sums a day up.
-pub(super) fn sum_up(sheet: &Sheet, day: &PlayedDay<'_>, policy: &str, seed: u64) -> DayResults {
-    let PlayedDay {
+pub(super) fn score_day(
+    workload: &Workload,
+    day: &SimulatedDay<'_>,
+    policy: &str,
+    seed: u64,
+) -> DayResults {
+    let SimulatedDay {
         requests,
-        ends,
-        first_ms,
+        outcomes,
+        first_event_ms,
         held,
         limit_use,
     } = *day;
-    let credit = |i: usize| match ends[i] {
-        End::OnTime => requests[i].worth,
-        End::Late => requests[i].late_worth,
-        End::Lost => 0.0,
+    let credit = |i: usize| match outcomes[i] {
+        RequestOutcome::OnTime => requests[i].worth,
+        RequestOutcome::Late => requests[i].late_worth,
+        RequestOutcome::Lost => 0.0,
     };
     let ratio = |of: &[usize]| {
         let owed: f64 = of.iter().map(|i| requests[*i].worth).sum();
@@ -95,7 +100,7 @@
     let owed: f64 = requests.iter().map(|r| r.worth).sum();
     let held: f64 = requests.iter().zip(held).map(|(r, h)| r.worth * h).sum();
     let held = held / owed;
-    let count = (sheet.length_s * 1000.0 / WINDOW_MS) as usize;
+    let count = (workload.length_s * 1000.0 / WINDOW_MS) as usize;
     let mut windows: Vec<f64> = (0..count)
         .map(|w| {
             let begin = w as f64 * WINDOW_MS;
@@ -105,17 +110,24 @@
         .collect();
     windows.sort_by(f64::total_cmp);
     let windows = (windows[0] + windows[1]) / 2.0;
-    let kinds: Vec<KindResults> = sheet
+    let kinds: Vec<KindResults> = workload
         .kinds
         .iter()
         .enumerate()
         .map(|(k, kind)| {
             let of: Vec<usize> = all
                 .iter()
-                .filter(|i| requests[**i].kind == k && requests[**i].account != FLOODING)
+                .filter(|i| requests[**i].kind == k && requests[**i].account != UNSCORED_ACCOUNT)
                 .copied()
                 .collect();
-            kind_results(kind.name, requests, ends, first_ms, &of, ratio(&of))
+            kind_results(
+                kind.name,
+                requests,
+                outcomes,
+                first_event_ms,
+                &of,
+                ratio(&of),
+            )
         })
         .collect();
     let worst = kinds.iter().map(|k| k.worth).fold(1.0, f64::min);
@@ -133,18 +145,18 @@
 
 fn kind_results(
     name: &str,
-    requests: &[SheetRequest],
-    ends: &[End],
-    first_ms: &[Option<f64>],
+    requests: &[WorkloadRequest],
+    outcomes: &[RequestOutcome],
+    first_event_ms: &[Option<f64>],
     of: &[usize],
     worth: f64,
 ) -> KindResults {
-    let served = |i: &&usize| ends[**i] != End::Lost;
+    let served = |i: &&usize| outcomes[**i] != RequestOutcome::Lost;
     let mut by_size = of.to_vec();
     by_size.sort_by_key(|i| std::cmp::Reverse(requests[*i].prompt_tokens));
     by_size.truncate((of.len() / 10).max(1));
     let largest = by_size.iter().filter(served).count() as f64 / by_size.len().max(1) as f64;
-    let mut firsts: Vec<f64> = of.iter().filter_map(|i| first_ms[*i]).collect();
+    let mut firsts: Vec<f64> = of.iter().filter_map(|i| first_event_ms[*i]).collect();
     firsts.sort_by(f64::total_cmp);
     let at = |q: f64| {
         let last = firsts.len().saturating_sub(1);
@@ -156,7 +168,10 @@
     KindResults {
         name: name.to_owned(),
         asked: of.len(),
-        on_time: of.iter().filter(|i| ends[**i] == End::OnTime).count(),
+        on_time: of
+            .iter()
+            .filter(|i| outcomes[**i] == RequestOutcome::OnTime)
+            .count(),
         served: of.iter().filter(served).count(),
         worth,
         largest_served: largest,
--- a/crates/azuresaddle-standin/src/passes/world.rs
+++ b/crates/azuresaddle-standin/src/passes/simulation.rs
@@ -2,9 +2,9 @@
 
 mod crashes;
 mod engines;
-mod judge;
-mod limits;
+mod outcome;
 mod placer;
+mod rate_limits;
 mod takeover;
 
 use std::cmp::Reverse;
@@ -21,58 +21,58 @@
 use tokio::time::Instant;
 
 use self::placer::Placer;
-use super::baseline::place;
-use super::credit::{DayResults, End, PlayedDay, sum_up};
+use super::baseline::choose_engines;
 use super::engine::EngineModel;
 use super::policy::PassPolicy;
-use super::sheet::{KindOfRequest, Sheet, SheetRequest, draw_requests};
+use super::scoring::{DayResults, RequestOutcome, SimulatedDay, score_day};
+use super::workload::{RequestKind, Workload, WorkloadRequest, generate_requests};
 
 /// Time from a decision until the engine has the request, in milliseconds.
-const TO_ENGINE_MS: f64 = 3.0;
+const ENGINE_DELAY_MS: f64 = 3.0;
 
 /// Time from an event until the owner of the pool knows of it, in milliseconds.
-const TO_OWNER_MS: f64 = 4.0;
+const OWNER_DELAY_MS: f64 = 4.0;
 
 /// Time between the caller and the node, there and back, in milliseconds.
-const CALLER_MS: f64 = 8.0;
+const CALLER_ROUND_TRIP_MS: f64 = 8.0;
 
 /// The node that asks.
-const NODE: u64 = 1;
+const NODE_ID: u64 = 1;
 
 /// What happens next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Arrival(usize),
-    AtEngines(usize),
+    EnginesReached(usize),
     PassEnd(usize),
-    FirstEventKnown(usize),
-    EndKnown(usize),
+    FirstEventReported(usize),
+    EndReported(usize),
     OwnerChange,
     /// An engine's answer about its pace, to a placer.
-    PaceKnown(usize, usize),
+    PaceReported(usize, usize),
     /// The nodes learn of the pools' loads.
-    Publish,
+    PublishLoads,
     /// A placer stops deciding for a while.
     Stall,
     /// Two owners of a pool become one again.
-    SplitEnds,
+    SplitBrainEnd,
     /// The streams of an engine that ended break off.
     Crash(usize),
     /// A stream whose engine ended wants another one.
-    AskAgain(usize),
+    Retry(usize),
     /// Another engine starts in the stead of one that ended.
-    EngineBack(usize),
+    EngineReplaced(usize),
     /// Engines begin or cease to limit their rate.
-    Limits,
+    RateLimitChange,
     /// A placer's own timer.
-    Wake(usize),
+    Wakeup(usize),
 }
 
 /// A request in the day.
 #[derive(Clone, Debug, Default)]
 struct Stream {
     /// What was asked, until the end is known.
-    ask: Option<PlacementRequest>,
+    placement: Option<PlacementRequest>,
     /// The placer that was asked.
     placer: usize,
     /// Where it runs, and when its first event is expected.
@@ -85,44 +85,47 @@
     ended_at: Option<f64>,
     refused_at: Option<f64>,
     /// Engines that ended under it.
-    runs: u32,
+    crash_count: u32,
     /// Events that its caller has.
     events: u64,
 }
 
 /// Plays one day with one policy.
-pub fn play_day(sheet: &Sheet, policy: PassPolicy, seed: u64) -> DayResults {
-    let requests = draw_requests(sheet, seed);
-    let mut world = World::new(sheet, policy, &requests, seed);
-    world.run();
-    let ends: Vec<End> = (0..requests.len()).map(|i| world.end(i)).collect();
-    let firsts: Vec<Option<f64>> = world
+pub fn simulate_day(workload: &Workload, policy: PassPolicy, seed: u64) -> DayResults {
+    let requests = generate_requests(workload, seed);
+    let mut simulation = Simulation::new(workload, policy, &requests, seed);
+    simulation.run();
+    let outcomes: Vec<RequestOutcome> =
+        (0..requests.len()).map(|i| simulation.outcome(i)).collect();
+    let firsts: Vec<Option<f64>> = simulation
         .streams
         .iter()
         .zip(&requests)
-        .map(|(s, r)| s.first_at.map(|at| at - r.at_ms + CALLER_MS))
+        .map(|(s, r)| s.first_at.map(|at| at - r.at_ms + CALLER_ROUND_TRIP_MS))
         .collect();
-    let held: Vec<f64> = (0..requests.len()).map(|i| world.held(i)).collect();
-    let day = PlayedDay {
+    let held: Vec<f64> = (0..requests.len())
+        .map(|i| simulation.holding_loss(i))
+        .collect();
+    let day = SimulatedDay {
         requests: &requests,
-        ends: &ends,
-        first_ms: &firsts,
+        outcomes: &outcomes,
+        first_event_ms: &firsts,
         held: &held,
-        limit_use: world.limit_use(),
+        limit_use: simulation.limit_use(),
     };
-    sum_up(sheet, &day, policy.name(), seed)
+    score_day(workload, &day, policy.name(), seed)
 }
 
-struct World<'a> {
-    sheet: &'a Sheet,
+struct Simulation<'a> {
+    workload: &'a Workload,
     policy: PassPolicy,
-    requests: &'a [SheetRequest],
+    requests: &'a [WorkloadRequest],
     streams: Vec<Stream>,
     engines: Vec<EngineModel>,
     /// Engines that ended.
-    ended: Vec<bool>,
+    crashed: Vec<bool>,
     /// When each engine got a request or a part of one, in milliseconds.
-    reached: Vec<Vec<f64>>,
+    received_at_ms: Vec<Vec<f64>>,
     quarantine: Quarantine,
     names: Vec<HostName>,
     placers: Vec<Placer>,
@@ -131,22 +134,27 @@
     rng: StdRng,
 }
 
-impl<'a> World<'a> {
-    fn new(sheet: &'a Sheet, policy: PassPolicy, requests: &'a [SheetRequest], seed: u64) -> Self {
+impl<'a> Simulation<'a> {
+    fn new(
+        workload: &'a Workload,
+        policy: PassPolicy,
+        requests: &'a [WorkloadRequest],
+        seed: u64,
+    ) -> Self {
         let origin = Instant::now();
-        let engines = sheet.troubles.engines_left(sheet.engines);
+        let engines = workload.faults.engines_left(workload.engines);
         let names: Vec<HostName> = (0..engines)
             .map(|i| HostName::new(format!("engine-{i:02}")))
             .collect();
-        let engine = |i| EngineModel::new(sheet.spec.clone(), sheet.troubles.pace(i));
-        let mut world = Self {
-            sheet,
+        let engine = |i| EngineModel::new(workload.spec.clone(), workload.faults.pace(i));
+        let mut simulation = Self {
+            workload,
             policy,
             requests,
             streams: vec![Stream::default(); requests.len()],
             engines: (0..engines).map(engine).collect(),
-            ended: vec![false; engines],
-            reached: vec![Vec::new(); engines],
+            crashed: vec![false; engines],
+            received_at_ms: vec![Vec::new(); engines],
             quarantine: Quarantine::default(),
             names,
             placers: Vec::new(),
@@ -154,29 +162,29 @@
             origin,
             rng: StdRng::seed_from_u64(seed),
         };
-        world.add_placers(origin);
+        simulation.add_placers(origin);
         for (i, request) in requests.iter().enumerate() {
-            world.push(request.at_ms, Event::Arrival(i));
+            simulation.push(request.at_ms, Event::Arrival(i));
         }
-        if let Some(term_s) = sheet.troubles.owner_term_s {
-            let terms = (sheet.length_s / term_s) as usize;
+        if let Some(term_s) = workload.faults.owner_change_interval_s {
+            let terms = (workload.length_s / term_s) as usize;
             for term in 1..=terms {
-                world.push(term as f64 * term_s * 1000.0, Event::OwnerChange);
+                simulation.push(term as f64 * term_s * 1000.0, Event::OwnerChange);
             }
         }
-        if let Some(stall) = sheet.troubles.stall {
-            for n in 1..=(sheet.length_s / stall.every_s) as usize {
-                world.push(n as f64 * stall.every_s * 1000.0, Event::Stall);
+        if let Some(stall) = workload.faults.owner_stalls {
+            for n in 1..=(workload.length_s / stall.interval_s) as usize {
+                simulation.push(n as f64 * stall.interval_s * 1000.0, Event::Stall);
             }
         }
-        if let Some(split) = sheet.troubles.split_owner {
-            world.push(split.span.to_s * 1000.0, Event::SplitEnds);
+        if let Some(split) = workload.faults.split_brain {
+            simulation.push(split.span.to_s * 1000.0, Event::SplitBrainEnd);
         }
-        if let Some(limited) = sheet.troubles.limited {
-            world.push(limited.span.from_s * 1000.0, Event::Limits);
-            world.push(limited.span.to_s * 1000.0, Event::Limits);
+        if let Some(limited) = workload.faults.rate_limited {
+            simulation.push(limited.span.from_s * 1000.0, Event::RateLimitChange);
+            simulation.push(limited.span.to_s * 1000.0, Event::RateLimitChange);
         }
-        world
+        simulation
     }
 
     fn push(&mut self, at_ms: f64, event: Event) {
@@ -192,36 +200,36 @@
             let at_ms = at_us as f64 / 1000.0;
             match event {
                 Event::Arrival(i) => self.arrive(at_ms, i),
-                Event::AtEngines(i) => self.reach_engines(at_ms, i),
+                Event::EnginesReached(i) => self.on_engines_reached(at_ms, i),
                 Event::PassEnd(engine) => self.end_pass(at_ms, engine),
-                Event::FirstEventKnown(i) => {
+                Event::FirstEventReported(i) => {
                     let now = self.instant(at_ms);
                     if let Some(placer) = self.placer_of(i) {
-                        placer.pool.on_first_event(now, ask_id(i));
+                        placer.pool.on_first_event(now, placement_id(i));
                     }
                 }
-                Event::EndKnown(i) => {
+                Event::EndReported(i) => {
                     let now = self.instant(at_ms);
                     if let Some(placer) = self.placer_of(i) {
-                        placer.pool.end(now, ask_id(i), &StreamOutcome::Done);
+                        placer.pool.end(now, placement_id(i), &StreamOutcome::Done);
                     }
-                    self.streams[i].ask = None;
+                    self.streams[i].placement = None;
                 }
-                Event::PaceKnown(engine, placer) => {
+                Event::PaceReported(engine, placer) => {
                     let now = self.instant(at_ms);
-                    let pace = self.sheet.troubles.pace(engine);
+                    let pace = self.workload.faults.pace(engine);
                     let placer = &mut self.placers[placer];
                     placer.pool.on_pace(now, &self.names[engine], pace);
                 }
-                Event::Publish => self.publish(at_ms),
+                Event::PublishLoads => self.publish_loads(at_ms),
                 Event::Stall => self.stall(at_ms),
-                Event::SplitEnds => self.end_split(at_ms),
+                Event::SplitBrainEnd => self.end_split_brain(at_ms),
                 Event::OwnerChange => self.change_owner(at_ms),
                 Event::Crash(engine) => self.crash(at_ms, engine),
-                Event::AskAgain(i) => self.ask_again(at_ms, i),
-                Event::EngineBack(engine) => self.engine_back(at_ms, engine),
-                Event::Limits => self.change_limits(at_ms),
-                Event::Wake(placer) => self.placers[placer].wake_at = None,
+                Event::Retry(i) => self.retry(at_ms, i),
+                Event::EngineReplaced(engine) => self.replace_engine(at_ms, engine),
+                Event::RateLimitChange => self.change_rate_limits(at_ms),
+                Event::Wakeup(placer) => self.placers[placer].wakeup_at = None,
             }
             self.dispatch(at_ms);
         }
@@ -229,13 +237,14 @@
 
     fn arrive(&mut self, at_ms: f64, i: usize) {
         let request = &self.requests[i];
-        let kind = &self.sheet.kinds[request.kind];
+        let kind = &self.workload.kinds[request.kind];
         let now = self.instant(at_ms);
         if self.placers.is_empty() {
             let memory = request.prompt_tokens + request.answer_tokens;
-            let members = memory.div_ceil(self.sheet.spec.memory_tokens) as usize;
-            self.streams[i].engines = place(self.policy, &self.engines, members, &mut self.rng);
-            self.push(at_ms + TO_ENGINE_MS, Event::AtEngines(i));
+            let members = memory.div_ceil(self.workload.spec.memory_tokens) as usize;
+            self.streams[i].engines =
+                choose_engines(self.policy, &self.engines, members, &mut self.rng);
+            self.push(at_ms + ENGINE_DELAY_MS, Event::EnginesReached(i));
             return;
         }
         if self.is_quarantined(at_ms, i) {
@@ -244,12 +253,12 @@
         }
         let suspect = self.suspect(at_ms, i);
         let after = |ms: f64| now + Duration::from_secs_f64(ms / 1000.0);
-        let ask = PlacementRequest {
-            id: ask_id(i),
+        let placement = PlacementRequest {
+            id: placement_id(i),
             account: ClientAccount::new(format!("account-{}", request.account)),
             domain: FailureDomain::new("d1"),
             prompt_tokens: request.prompt_tokens,
-            answer_tokens: request.answer_estimate,
+            answer_tokens: request.estimated_answer_tokens,
             first_event_by: after(kind.first_event_ms - 12.0),
             pause: Duration::from_secs_f64(kind.pause_ms / 1000.0),
             give_up_at: after(give_up_ms(kind)),
@@ -259,8 +268,8 @@
         };
         let placer = self.route(at_ms, i);
         self.streams[i].placer = placer;
-        self.streams[i].ask = Some(ask.clone());
-        self.placers[placer].pool.enqueue(now, ask);
+        self.streams[i].placement = Some(placement.clone());
+        self.placers[placer].pool.enqueue(now, placement);
     }
 
     /// The placer that has a stream in its ledger; `None` for a baseline.
@@ -282,12 +291,12 @@
         let pool = &mut self.placers[index].pool;
         pool.dispatch(now);
         let decisions = pool.take_decisions();
-        let questions = pool.take_pace_probes(now);
+        let probes = pool.take_pace_probes(now);
         let wake = pool.next_wakeup(now);
-        for name in questions {
+        for name in probes {
             if let Some(engine) = self.names.iter().position(|n| *n == name) {
-                let known_at = at_ms + TO_ENGINE_MS + TO_OWNER_MS;
-                self.push(known_at, Event::PaceKnown(engine, index));
+                let known_at = at_ms + ENGINE_DELAY_MS + OWNER_DELAY_MS;
+                self.push(known_at, Event::PaceReported(engine, index));
             }
         }
         for (id, decision) in decisions {
@@ -295,23 +304,23 @@
             match decision {
                 PlacementDecision::Granted(_) if self.is_quarantined(at_ms, i) => {
                     let now = self.instant(at_ms);
-                    self.streams[i].ask = None;
+                    self.streams[i].placement = None;
                     let pool = &mut self.placers[index].pool;
                     pool.end(now, id, &StreamOutcome::Cancelled);
                 }
                 PlacementDecision::Granted(grant) => self.start(at_ms, i, &grant),
                 PlacementDecision::Refused { .. } => {
                     self.streams[i].refused_at = Some(at_ms);
-                    self.streams[i].ask = None;
+                    self.streams[i].placement = None;
                 }
             }
         }
         if let Some(at) = wake {
             let at_us = at.duration_since(self.origin).as_micros() as u64;
             let placer = &mut self.placers[index];
-            if placer.wake_at.is_none_or(|known| at_us < known) {
-                placer.wake_at = Some(at_us);
-                self.events.push(Reverse((at_us, Event::Wake(index))));
+            if placer.wakeup_at.is_none_or(|known| at_us < known) {
+                placer.wakeup_at = Some(at_us);
+                self.events.push(Reverse((at_us, Event::Wakeup(index))));
             }
         }
     }
@@ -322,20 +331,20 @@
         self.streams[i].engines = all.filter_map(index).collect();
         let first_event_at = self.instant(at_ms) + grant.first_event_in;
         self.streams[i].grant = Some((grant.clone(), first_event_at));
-        self.push(at_ms + TO_ENGINE_MS, Event::AtEngines(i));
+        self.push(at_ms + ENGINE_DELAY_MS, Event::EnginesReached(i));
     }
 }
 
 /// Time after which a caller gives up if no event has come.
-fn give_up_ms(kind: &KindOfRequest) -> f64 {
+fn give_up_ms(kind: &RequestKind) -> f64 {
     2000f64
         .max(4.0 * kind.first_event_ms)
         .max(8.0 * kind.pause_ms)
 }
 
-fn ask_id(i: usize) -> PlacementId {
+fn placement_id(i: usize) -> PlacementId {
     PlacementId {
-        node: NODE,
+        node: NODE_ID,
         number: i as u64,
     }
 }
--- a/crates/azuresaddle-standin/src/passes/world/crashes.rs
+++ b/crates/azuresaddle-standin/src/passes/simulation/crashes.rs
@@ -8,16 +8,16 @@
 use azuresaddle_sched::passes::{StreamOutcome, Suspect};
 use azuresaddle_sched::quarantine::RequestStatus;
 
-use super::{Event, Stream, TO_OWNER_MS, World, ask_id};
+use super::{Event, OWNER_DELAY_MS, Simulation, Stream, placement_id};
 use crate::passes::engine::EngineModel;
 
 /// Most engines that one request is sent to, as the users' routes have it.
 const MAX_RUNS: u32 = 2;
 
-impl World<'_> {
+impl Simulation<'_> {
     /// Fingerprint of a request: all that end engines are the same one.
     pub(super) fn fingerprint(&self, i: usize) -> Fingerprint {
-        let name = if self.requests[i].crashes {
+        let name = if self.requests[i].crashes_engine {
             usize::MAX
         } else {
             i
@@ -27,10 +27,10 @@
 
     /// Whether a request is kept from all engines now.
     pub(super) fn is_quarantined(&self, at_ms: f64, i: usize) -> bool {
-        let standing = self
+        let status = self
             .quarantine
             .status(self.instant(at_ms), self.fingerprint(i));
-        self.policy.has_quarantine() && standing.is_quarantined()
+        self.policy.has_quarantine() && status.is_quarantined()
     }
 
     /// The request as a suspect, where an engine has ended under it.
@@ -49,18 +49,18 @@
 
     /// An engine ends: each stream there goes on elsewhere or is lost, and another engine comes in its stead later.
     pub(super) fn crash(&mut self, at_ms: f64, engine: usize) {
-        if std::mem::replace(&mut self.ended[engine], true) {
+        if std::mem::replace(&mut self.crashed[engine], true) {
             return;
         }
         let back_ms = self
-            .sheet
-            .troubles
-            .crashing
-            .map_or(0.0, |c| c.back_s * 1000.0);
-        self.push(at_ms + back_ms, Event::EngineBack(engine));
+            .workload
+            .faults
+            .crashing_request
+            .map_or(0.0, |c| c.replacement_delay_s * 1000.0);
+        self.push(at_ms + back_ms, Event::EngineReplaced(engine));
         let now = self.instant(at_ms);
         let name = self.names[engine].clone();
-        let domain = FailureDomain::new(format!("d{}", engine % self.sheet.domains));
+        let domain = FailureDomain::new(format!("d{}", engine % self.workload.domains));
         for placer in &mut self.placers {
             placer.pool.upsert_engine(now, &name, &domain, true);
         }
@@ -68,11 +68,11 @@
         let all = 0..self.streams.len();
         let broken: Vec<usize> = all.filter(|i| is_there(&self.streams[*i])).collect();
         for i in broken {
-            self.break_off(at_ms, i, engine);
+            self.fail_stream(at_ms, i, engine);
         }
     }
 
-    fn break_off(&mut self, at_ms: f64, i: usize, engine: usize) {
+    fn fail_stream(&mut self, at_ms: f64, i: usize, engine: usize) {
         let now = self.instant(at_ms);
         let request = self.fingerprint(i);
         let sent_at = now - Duration::from_millis(1);
@@ -86,15 +86,15 @@
         if let Some(placer) = self.placer_of(i) {
             placer
                 .pool
-                .end(now, ask_id(i), &StreamOutcome::TargetFailed(name));
+                .end(now, placement_id(i), &StreamOutcome::TargetFailed(name));
         }
         self.streams[i].grant = None;
-        self.streams[i].runs += 1;
-        self.push(at_ms + TO_OWNER_MS, Event::AskAgain(i));
+        self.streams[i].crash_count += 1;
+        self.push(at_ms + OWNER_DELAY_MS, Event::Retry(i));
     }
 
     /// A stream was sent to engines of which one has ended; it has not run.
-    pub(super) fn break_off_at_ended(&mut self, at_ms: f64, i: usize) {
+    pub(super) fn decline_stream(&mut self, at_ms: f64, i: usize) {
         let now = self.instant(at_ms);
         let lead = self.streams[i].engines[0];
         let name = self.names[lead].clone();
@@ -103,40 +103,40 @@
         if let Some(placer) = self.placer_of(i) {
             placer
                 .pool
-                .end(now, ask_id(i), &StreamOutcome::TargetRefused(name));
+                .end(now, placement_id(i), &StreamOutcome::TargetRefused(name));
         }
-        self.push(at_ms + TO_OWNER_MS, Event::AskAgain(i));
+        self.push(at_ms + OWNER_DELAY_MS, Event::Retry(i));
     }
 
     /// A stream whose engine ended goes on elsewhere, where its route allows it.
-    pub(super) fn ask_again(&mut self, at_ms: f64, i: usize) {
+    pub(super) fn retry(&mut self, at_ms: f64, i: usize) {
         let suspect = self.suspect(at_ms, i);
-        let is_over = self.streams[i].runs >= MAX_RUNS || self.is_quarantined(at_ms, i);
+        let is_over = self.streams[i].crash_count >= MAX_RUNS || self.is_quarantined(at_ms, i);
         let now = self.instant(at_ms);
-        let Some(ask) = self.streams[i].ask.as_mut() else {
+        let Some(placement) = self.streams[i].placement.as_mut() else {
             return;
         };
         if is_over {
-            self.streams[i].ask = None;
+            self.streams[i].placement = None;
             return;
         }
-        ask.suspect = suspect;
-        let ask = ask.clone();
+        placement.suspect = suspect;
+        let placement = placement.clone();
         if let Some(placer) = self.placer_of(i) {
-            placer.pool.enqueue(now, ask);
+            placer.pool.enqueue(now, placement);
         }
     }
 
     /// Another engine starts in the stead of one that ended.
-    pub(super) fn engine_back(&mut self, at_ms: f64, engine: usize) {
+    pub(super) fn replace_engine(&mut self, at_ms: f64, engine: usize) {
         let now = self.instant(at_ms);
         let added = self.engines.len();
         let name = HostName::new(format!("engine-{added:02}"));
-        let domain = FailureDomain::new(format!("d{}", engine % self.sheet.domains));
+        let domain = FailureDomain::new(format!("d{}", engine % self.workload.domains));
         self.engines
-            .push(EngineModel::new(self.sheet.spec.clone(), 1.0));
-        self.ended.push(false);
-        self.reached.push(Vec::new());
+            .push(EngineModel::new(self.workload.spec.clone(), 1.0));
+        self.crashed.push(false);
+        self.received_at_ms.push(Vec::new());
         for placer in &mut self.placers {
             placer
                 .pool
--- a/crates/azuresaddle-standin/src/passes/world/engines.rs
+++ b/crates/azuresaddle-standin/src/passes/simulation/engines.rs
@@ -1,19 +1,19 @@
 //! What happens at the engines of a played day.
 
-use super::{Event, TO_OWNER_MS, World};
+use super::{Event, OWNER_DELAY_MS, Simulation};
 
-impl World<'_> {
-    pub(super) fn reach_engines(&mut self, at_ms: f64, i: usize) {
+impl Simulation<'_> {
+    pub(super) fn on_engines_reached(&mut self, at_ms: f64, i: usize) {
         let engines = self.streams[i].engines.clone();
-        if engines.iter().any(|e| self.ended[*e]) {
+        if engines.iter().any(|e| self.crashed[*e]) {
             // It ended on the way.
-            return self.break_off_at_ended(at_ms, i);
+            return self.decline_stream(at_ms, i);
         }
         self.streams[i].parts_left = engines.len();
         for (n, engine) in engines.iter().enumerate() {
-            self.reached[*engine].push(at_ms);
+            self.received_at_ms[*engine].push(at_ms);
             let tokens = self.requests[i].prompt_tokens;
-            self.engines[*engine].add_read(i, tokens, engines.len(), n > 0);
+            self.engines[*engine].add_prefill(i, tokens, engines.len(), n > 0);
             self.begin_pass(at_ms, *engine);
         }
     }
@@ -28,7 +28,7 @@
     }
 
     pub(super) fn end_pass(&mut self, at_ms: f64, engine: usize) {
-        if self.ended[engine] {
+        if self.crashed[engine] {
             return;
         }
         let end = self.engines[engine].end_pass();
@@ -42,7 +42,7 @@
                 self.finish(at_ms, i);
             }
         }
-        for i in end.read {
+        for i in end.prefilled {
             self.streams[i].parts_left -= 1;
             if self.streams[i].parts_left == 0 {
                 self.first_event(at_ms, i);
@@ -64,10 +64,10 @@
         stream.events += 1;
         let events = stream.events;
         let lead = stream.engines[0];
-        self.push(at_ms + TO_OWNER_MS, Event::FirstEventKnown(i));
+        self.push(at_ms + OWNER_DELAY_MS, Event::FirstEventReported(i));
         let request = &self.requests[i];
-        let step = u64::from(self.sheet.spec.steps_per_pass);
-        if request.crashes {
+        let step = u64::from(self.workload.spec.steps_per_pass);
+        if request.crashes_engine {
             self.push(at_ms, Event::Crash(lead));
             return;
         }
@@ -76,14 +76,14 @@
             return self.finish(at_ms, i);
         }
         let context = request.prompt_tokens / self.streams[i].engines.len().max(1) as u64;
-        let fits = request.prompt_tokens <= self.sheet.spec.memory_tokens;
+        let fits = request.prompt_tokens <= self.workload.spec.memory_tokens;
         let context = if fits { request.prompt_tokens } else { context };
-        self.engines[lead].add_writer(i, context, left);
+        self.engines[lead].add_decode(i, context, left);
         self.begin_pass(at_ms, lead);
     }
 
     fn finish(&mut self, at_ms: f64, i: usize) {
         self.streams[i].ended_at = Some(at_ms);
-        self.push(at_ms + TO_OWNER_MS, Event::EndKnown(i));
+        self.push(at_ms + OWNER_DELAY_MS, Event::EndReported(i));
     }
 }
--- a/crates/azuresaddle-standin/src/passes/world/placer.rs
+++ b/crates/azuresaddle-standin/src/passes/simulation/placer.rs
@@ -6,14 +6,14 @@
 use rand::seq::index::sample;
 use tokio::time::Instant;
 
-use super::{Event, World};
-use crate::passes::placers::Placers;
+use super::{Event, Simulation};
+use crate::passes::pool_layout::PoolLayout;
 
 /// Time between two publications of a pool's load, in milliseconds: two rounds of heartbeats.
-const PUBLISH_MS: f64 = 400.0;
+const PUBLISH_INTERVAL_MS: f64 = 400.0;
 
 /// Times that the own failure domain's pool may be as loaded as another before requests spill over.
-const SPILL: f64 = 1.3;
+const SPILL_FACTOR: f64 = 1.3;
 
 /// A node that places.
 pub(super) struct Placer {
@@ -23,36 +23,42 @@
     /// Until when it decides nothing, in milliseconds.
     pub(super) stalled_until_ms: f64,
     /// When its own timer is set for, in microseconds.
-    pub(super) wake_at: Option<u64>,
+    pub(super) wakeup_at: Option<u64>,
 }
 
-impl World<'_> {
+impl Simulation<'_> {
     /// A pool that knows of no stream, over the engines that belong to it.
     pub(super) fn new_pool(&self, now: Instant, index: usize) -> Option<PassPool> {
         let options = self.policy.options()?;
-        let mut pool = PassPool::new(options, self.sheet.spec.clone());
-        let Self { sheet, names, .. } = self;
+        let mut pool = PassPool::new(options, self.workload.spec.clone());
+        let Self {
+            workload, names, ..
+        } = self;
         for (i, name) in names.iter().enumerate() {
-            let is_member =
-                index >= self.pools() || sheet.placers.pool_of(i, sheet.domains) == index;
+            let is_member = index >= self.pool_count()
+                || workload.pool_layout.pool_of(i, workload.domains) == index;
             if is_member {
-                let domain = FailureDomain::new(format!("d{}", i % sheet.domains));
+                let domain = FailureDomain::new(format!("d{}", i % workload.domains));
                 pool.upsert_engine(now, name, &domain, false);
             }
         }
-        self.apply_limits(now, &mut pool);
+        self.apply_rate_limits(now, &mut pool);
         Some(pool)
     }
 
     /// Pools that share the engines; placers beyond them place on all engines.
-    pub(super) fn pools(&self) -> usize {
-        self.sheet.placers.pools(self.sheet.domains)
+    pub(super) fn pool_count(&self) -> usize {
+        self.workload.pool_layout.pool_count(self.workload.domains)
     }
 
     pub(super) fn add_placers(&mut self, now: Instant) {
-        let lone = self.sheet.troubles.cut_off.map_or(0, |cut| cut.nodes);
-        let rivals = usize::from(self.sheet.troubles.split_owner.is_some());
-        for index in 0..self.pools() + rivals + lone {
+        let isolated = self
+            .workload
+            .faults
+            .isolated_nodes
+            .map_or(0, |isolated| isolated.count);
+        let second_owners = usize::from(self.workload.faults.split_brain.is_some());
+        for index in 0..self.pool_count() + second_owners + isolated {
             let Some(pool) = self.new_pool(now, index) else {
                 return;
             };
@@ -61,39 +67,39 @@
                 pool,
                 published,
                 stalled_until_ms: 0.0,
-                wake_at: None,
+                wakeup_at: None,
             });
         }
-        self.push(PUBLISH_MS, Event::Publish);
+        self.push(PUBLISH_INTERVAL_MS, Event::PublishLoads);
     }
 
     /// All nodes learn of the pools' loads.
-    pub(super) fn publish(&mut self, at_ms: f64) {
+    pub(super) fn publish_loads(&mut self, at_ms: f64) {
         let now = self.instant(at_ms);
         for placer in &mut self.placers {
             placer.published = placer.pool.load(now);
         }
-        if at_ms < self.sheet.length_s * 1000.0 {
-            self.push(at_ms + PUBLISH_MS, Event::Publish);
+        if at_ms < self.workload.length_s * 1000.0 {
+            self.push(at_ms + PUBLISH_INTERVAL_MS, Event::PublishLoads);
         }
     }
 
     /// The placer that a request goes to.
     pub(super) fn route(&mut self, at_ms: f64, i: usize) -> usize {
-        let pools = self.pools();
-        if let Some(cut) = self.sheet.troubles.cut_off
-            && cut.span.contains(at_ms)
-            && self.rng.random::<f64>() < cut.share
+        let pools = self.pool_count();
+        if let Some(isolated) = self.workload.faults.isolated_nodes
+            && isolated.span.contains(at_ms)
+            && self.rng.random::<f64>() < isolated.request_share
         {
-            return self.placers.len() - 1 - self.rng.random_range(0..cut.nodes);
+            return self.placers.len() - 1 - self.rng.random_range(0..isolated.count);
         }
-        let domain = self.rng.random_range(0..self.sheet.domains);
-        let chosen = match self.sheet.placers {
-            Placers::One => 0,
-            Placers::Pools(_) => self.best_of_two(i),
-            Placers::Domains => self.own_or_best(i, domain),
+        let domain = self.rng.random_range(0..self.workload.domains);
+        let chosen = match self.workload.pool_layout {
+            PoolLayout::Single => 0,
+            PoolLayout::Count(_) => self.best_of_two(i),
+            PoolLayout::PerDomain => self.own_domain_or_best(i, domain),
         };
-        let split = self.sheet.troubles.split_owner;
+        let split = self.workload.faults.split_brain;
         if chosen == 0 && split.is_some_and(|s| s.span.contains(at_ms)) && self.rng.random::<bool>()
         {
             return pools;
@@ -102,7 +108,7 @@
     }
 
     fn is_long(&self, i: usize) -> bool {
-        // Only the first kind of a sheet is read in a fraction of a pass.
+        // Only the first kind of a workload is read in a fraction of a pass.
         self.requests[i].kind > 0
     }
 
@@ -116,9 +122,9 @@
     }
 
     fn best_of_two(&mut self, i: usize) -> usize {
-        let pools = self.pools();
+        let pools = self.pool_count();
         if self.is_long(i) {
-            return self.least(true);
+            return self.least_loaded(true);
         }
         if pools < 2 {
             return 0;
@@ -132,18 +138,18 @@
         }
     }
 
-    fn own_or_best(&self, i: usize, domain: usize) -> usize {
+    fn own_domain_or_best(&self, i: usize, domain: usize) -> usize {
         let is_long = self.is_long(i);
-        let best = self.least(is_long);
-        if self.cost(domain, is_long) > self.cost(best, is_long) * SPILL {
+        let best = self.least_loaded(is_long);
+        if self.cost(domain, is_long) > self.cost(best, is_long) * SPILL_FACTOR {
             best
         } else {
             domain
         }
     }
 
-    fn least(&self, is_long: bool) -> usize {
-        let all = 0..self.pools();
+    fn least_loaded(&self, is_long: bool) -> usize {
+        let all = 0..self.pool_count();
         let least = all.min_by(|a, b| self.cost(*a, is_long).total_cmp(&self.cost(*b, is_long)));
         least.unwrap_or(0)
     }
--- a/crates/azuresaddle-standin/src/passes/world/limits.rs
+++ b/crates/azuresaddle-standin/src/passes/simulation/rate_limits.rs
@@ -9,44 +9,48 @@
 use azuresaddle_sched::passes::PassPool;
 use tokio::time::Instant;
 
-use super::World;
+use super::Simulation;
 use crate::limit_check::{SETTLE, allowed, most_in_a_span};
 
-impl World<'_> {
-    pub(super) fn change_limits(&mut self, at_ms: f64) {
+impl Simulation<'_> {
+    pub(super) fn change_rate_limits(&mut self, at_ms: f64) {
         let now = self.instant(at_ms);
         let mut placers = std::mem::take(&mut self.placers);
         for (index, placer) in placers.iter_mut().enumerate() {
-            placer.pool.set_owner(now, index < self.pools());
-            self.apply_limits(now, &mut placer.pool);
+            placer.pool.set_owner(now, index < self.pool_count());
+            self.apply_rate_limits(now, &mut placer.pool);
         }
         self.placers = placers;
     }
 
     /// Tells a pool the limits in force.
-    pub(super) fn apply_limits(&self, now: Instant, pool: &mut PassPool) {
+    pub(super) fn apply_rate_limits(&self, now: Instant, pool: &mut PassPool) {
         let at_ms = now.duration_since(self.origin).as_secs_f64() * 1000.0;
-        let limited = self.sheet.troubles.limited;
+        let limited = self.workload.faults.rate_limited;
         let Some(limited) = limited.filter(|l| l.span.contains(at_ms)) else {
             return pool.set_rate_limits(now, |_| None);
         };
-        let limit = RateLimit::per_second(limited.per_s);
+        let limit = RateLimit::per_second(limited.requests_per_s);
         let is_limited = |id: &HostName| self.names.iter().take(limited.count).any(|n| n == id);
         pool.set_rate_limits(now, |id| limit.as_ref().filter(|_| is_limited(id)));
     }
 
     /// Most requests that a limited engine got in a span, over what the limit allows.
     pub(super) fn limit_use(&self) -> f64 {
-        let Some(limited) = self.sheet.troubles.limited else {
+        let Some(limited) = self.workload.faults.rate_limited else {
             return 0.0;
         };
         let seconds = Duration::from_secs_f64;
         let held = seconds(limited.span.from_s) + SETTLE..seconds(limited.span.to_s);
-        let most = self.reached.iter().take(limited.count).map(|reached| {
-            let arrivals = reached.iter().map(|ms| seconds(ms / 1000.0));
-            let arrivals: Vec<Duration> = arrivals.filter(|at| held.contains(at)).collect();
-            most_in_a_span(&arrivals)
-        });
-        most.max().unwrap_or(0) as f64 / allowed(limited.per_s) as f64
+        let most = self
+            .received_at_ms
+            .iter()
+            .take(limited.count)
+            .map(|received_at_ms| {
+                let arrivals = received_at_ms.iter().map(|ms| seconds(ms / 1000.0));
+                let arrivals: Vec<Duration> = arrivals.filter(|at| held.contains(at)).collect();
+                most_in_a_span(&arrivals)
+            });
+        most.max().unwrap_or(0) as f64 / allowed(limited.requests_per_s) as f64
     }
 }
--- a/crates/azuresaddle-standin/src/passes/world/takeover.rs
+++ b/crates/azuresaddle-standin/src/passes/simulation/takeover.rs
@@ -3,9 +3,9 @@
 use azuresaddle_sched::passes::RunningStream;
 use tokio::time::Instant;
 
-use super::{Event, NODE, Stream, TO_OWNER_MS, World};
+use super::{Event, NODE_ID, OWNER_DELAY_MS, Simulation, Stream};
 
-impl World<'_> {
+impl Simulation<'_> {
     /// Another node places in each pool from now on, by what the nodes tell it of their streams.
     pub(super) fn change_owner(&mut self, at_ms: f64) {
         for index in 0..self.placers.len() {
@@ -25,11 +25,11 @@
             .filter(|i| is_taken(&self.streams[*i]))
             .filter_map(|i| self.running(now, at_ms, i))
             .collect();
-        pool.sync_node(now, NODE, &running, |_| false);
+        pool.sync_node(now, NODE_ID, &running, |_| false);
         for stream in self.streams.iter_mut().filter(|s| is_taken(s)) {
             stream.placer = index;
-            if let (Some(ask), None) = (&stream.ask, &stream.grant) {
-                pool.enqueue(now, ask.clone());
+            if let (Some(placement), None) = (&stream.placement, &stream.grant) {
+                pool.enqueue(now, placement.clone());
             }
         }
         self.placers[index].pool = pool;
@@ -37,40 +37,43 @@
 
     /// The owner of the first pool decides nothing for a while.
     pub(super) fn stall(&mut self, at_ms: f64) {
-        let (Some(stall), Some(first)) = (self.sheet.troubles.stall, self.placers.first_mut())
+        let (Some(stall), Some(first)) =
+            (self.workload.faults.owner_stalls, self.placers.first_mut())
         else {
             return;
         };
-        let until_ms = at_ms + stall.for_s * 1000.0;
+        let until_ms = at_ms + stall.duration_s * 1000.0;
         first.stalled_until_ms = until_ms;
-        self.push(until_ms, Event::Wake(0));
+        self.push(until_ms, Event::Wakeup(0));
     }
 
     /// All nodes agree on one owner of the first pool again.
-    pub(super) fn end_split(&mut self, at_ms: f64) {
-        let rival = self.pools();
-        if rival < self.placers.len() {
-            self.take_over(at_ms, 0, &[0, rival]);
+    pub(super) fn end_split_brain(&mut self, at_ms: f64) {
+        let second_owner = self.pool_count();
+        if second_owner < self.placers.len() {
+            self.take_over(at_ms, 0, &[0, second_owner]);
         }
     }
 
     /// What a node tells a new owner of a stream.
     pub(super) fn running(&self, now: Instant, at_ms: f64, i: usize) -> Option<RunningStream> {
         let stream = &self.streams[i];
-        let ask = stream.ask.as_ref()?;
+        let placement = stream.placement.as_ref()?;
         let (grant, first_event_at) = stream.grant.as_ref()?;
-        let is_writing = stream.first_at.is_some_and(|at| at + TO_OWNER_MS <= at_ms);
+        let is_writing = stream
+            .first_at
+            .is_some_and(|at| at + OWNER_DELAY_MS <= at_ms);
         Some(RunningStream {
-            id: ask.id,
+            id: placement.id,
             lead: grant.lead.clone(),
             helpers: grant.helpers.clone(),
             helper_memory_tokens: grant.helper_memory_tokens,
-            prompt_tokens: ask.prompt_tokens,
-            answer_tokens: ask.answer_tokens,
-            pause: ask.pause,
+            prompt_tokens: placement.prompt_tokens,
+            answer_tokens: placement.answer_tokens,
+            pause: placement.pause,
             is_decoding: is_writing,
             first_event_in: first_event_at.saturating_duration_since(now),
-            suspect: ask.suspect,
+            suspect: placement.suspect,
         })
     }
 }
--- a/crates/azuresaddle-standin/src/passes/sheet.rs
+++ b/crates/azuresaddle-standin/src/passes/workload.rs
@@ -5,16 +5,16 @@
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, LogNormal};
 
-use super::placers::Placers;
-use super::troubles::{CrashingRequest, Flood, Span, Troubles};
+use super::faults::{CrashingRequest, Faults, Flood, Span};
+use super::pool_layout::PoolLayout;
 
 /// A kind of request.
 #[derive(Clone, Debug)]
-pub struct KindOfRequest {
+pub struct RequestKind {
     /// Name.
     pub name: &'static str,
     /// Requests a second at the whole rate.
-    pub per_s: f64,
+    pub requests_per_s: f64,
     /// Mean prompt, in tokens.
     pub prompt_tokens: f64,
     /// Spread of the prompts: standard deviation of their logarithm.
@@ -43,7 +43,7 @@
 
 /// A deployment's load.
 #[derive(Clone, Debug)]
-pub struct Sheet {
+pub struct Workload {
     /// Name.
     pub name: &'static str,
     /// Number of engines.
@@ -51,7 +51,7 @@
     /// Speeds and sizes of the engines.
     pub spec: EngineSpec,
     /// Kinds of requests.
-    pub kinds: Vec<KindOfRequest>,
+    pub kinds: Vec<RequestKind>,
     /// Part of the whole rate.
     pub load: f64,
     /// Length of the day, in seconds.
@@ -59,42 +59,42 @@
     /// Failure domains that the engines are spread over evenly.
     pub domains: usize,
     /// Who places on which engines.
-    pub placers: Placers,
+    pub pool_layout: PoolLayout,
     /// What goes wrong.
-    pub troubles: Troubles,
+    pub faults: Faults,
 }
 
 /// A request.
 #[derive(Clone, Debug)]
-pub struct SheetRequest {
+pub struct WorkloadRequest {
     /// When it arrives, in milliseconds.
     pub at_ms: f64,
     /// Index of its kind.
     pub kind: usize,
-    /// Number of the client account that sends it; what [`FLOODING`] asks is not counted.
+    /// Number of the client account that sends it; what [`UNSCORED_ACCOUNT`] asks is not counted.
     pub account: usize,
     /// Length of its prompt, in tokens.
     pub prompt_tokens: u64,
     /// Length of its answer, in tokens.
     pub answer_tokens: u64,
     /// The caller's estimate of that.
-    pub answer_estimate: u64,
+    pub estimated_answer_tokens: u64,
     /// Worth on time, by its size.
     pub worth: f64,
     /// Worth when late.
     pub late_worth: f64,
     /// Whether it ends the engine that begins to write its answer; all such are one request.
-    pub crashes: bool,
+    pub crashes_engine: bool,
 }
 
-/// Client accounts of a sheet.
-const ACCOUNTS: usize = 10;
+/// Client accounts of a workload.
+const ACCOUNT_COUNT: usize = 10;
 
 /// The account whose requests are not counted: one that floods, or sends what ends engines.
-pub const FLOODING: usize = ACCOUNTS;
+pub const UNSCORED_ACCOUNT: usize = ACCOUNT_COUNT;
 
 /// Most times the worth of its kind that a request may have.
-const MAX_SIZE_WORTH: f64 = 4.0;
+const MAX_SIZE_FACTOR: f64 = 4.0;
 
 /// Phases of the day: begin and end of each, in seconds.
 const PHASES: [(f64, f64); 3] = [(1.9, 11.4), (12.0, 21.5), (23.0, 32.5)];
@@ -103,35 +103,38 @@
 const ESTIMATE_SPREAD: f64 = 0.5;
 
 /// All requests of a day, in the order of their arrival.
-pub fn draw_requests(sheet: &Sheet, seed: u64) -> Vec<SheetRequest> {
+pub fn generate_requests(workload: &Workload, seed: u64) -> Vec<WorkloadRequest> {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut requests = Vec::new();
-    for (index, kind) in sheet.kinds.iter().enumerate() {
-        draw_kind(sheet, index, kind, &mut rng, &mut requests);
+    for (index, kind) in workload.kinds.iter().enumerate() {
+        draw_kind(workload, index, kind, &mut rng, &mut requests);
     }
-    if let Some(flood) = sheet.troubles.flood {
-        draw_flood(sheet, flood, &mut rng, &mut requests);
+    if let Some(flood) = workload.faults.flood {
+        draw_flood(workload, flood, &mut rng, &mut requests);
     }
-    if let Some(crashing) = sheet.troubles.crashing {
-        draw_crashing(sheet, crashing, &mut rng, &mut requests);
+    if let Some(crashing) = workload.faults.crashing_request {
+        draw_crashing_request(workload, crashing, &mut rng, &mut requests);
     }
     requests.sort_by(|a, b| a.at_ms.total_cmp(&b.at_ms));
     // Drawn apart, so that a seed gives the same requests whoever sends them.
     let mut rng = StdRng::seed_from_u64(!seed);
-    for request in requests.iter_mut().filter(|r| r.account != FLOODING) {
+    for request in requests
+        .iter_mut()
+        .filter(|r| r.account != UNSCORED_ACCOUNT)
+    {
         request.account = draw_account(&mut rng);
     }
     requests
 }
 
 fn draw_kind(
-    sheet: &Sheet,
+    workload: &Workload,
     index: usize,
-    kind: &KindOfRequest,
+    kind: &RequestKind,
     rng: &mut StdRng,
-    requests: &mut Vec<SheetRequest>,
+    requests: &mut Vec<WorkloadRequest>,
 ) {
-    let burst = match sheet.troubles.quick_burst {
+    let burst = match workload.faults.quick_burst_factor {
         0.0 => 1.0,
         times => times,
     };
@@ -139,94 +142,105 @@
     let prompts = log_normal(kind.prompt_tokens, kind.prompt_spread);
     let events = log_normal(kind.events, kind.events_spread);
     let estimates = LogNormal::new(0.0, ESTIMATE_SPREAD).expect("a spread is finite");
-    let rate = kind.per_s * sheet.load * most;
+    let rate = kind.requests_per_s * workload.load * most;
     let mut at_s = 0.0;
     loop {
         at_s += -(1.0 - rng.random::<f64>()).ln() / rate;
-        if at_s >= sheet.length_s {
+        if at_s >= workload.length_s {
             return;
         }
         // Thinning turns the highest rate into that of the phase.
         let times = if index == 0 { burst } else { 1.0 };
-        if rng.random::<f64>() * most > factor(kind, at_s) * times {
+        if rng.random::<f64>() * most > phase_factor(kind, at_s) * times {
             continue;
         }
         let prompt = prompts.sample(rng).clamp(100.0, kind.max_prompt_tokens);
         let events = events.sample(rng).clamp(1.0, kind.max_events).round();
-        let answer = events as u64 * u64::from(sheet.spec.steps_per_pass);
-        let size = (0.3 + 0.7 * prompt / kind.prompt_tokens).min(MAX_SIZE_WORTH);
-        requests.push(SheetRequest {
+        let answer = events as u64 * u64::from(workload.spec.steps_per_pass);
+        let size = (0.3 + 0.7 * prompt / kind.prompt_tokens).min(MAX_SIZE_FACTOR);
+        requests.push(WorkloadRequest {
             at_ms: at_s * 1000.0,
             kind: index,
             account: 0,
             prompt_tokens: prompt as u64,
             answer_tokens: answer,
-            answer_estimate: (answer as f64 * estimates.sample(rng)) as u64,
+            estimated_answer_tokens: (answer as f64 * estimates.sample(rng)) as u64,
             worth: kind.worth * size,
             late_worth: kind.late_worth * size,
-            crashes: false,
+            crashes_engine: false,
         });
     }
 }
 
 /// Quick questions of one account that count for nothing.
-fn draw_flood(sheet: &Sheet, flood: Flood, rng: &mut StdRng, requests: &mut Vec<SheetRequest>) {
+fn draw_flood(
+    workload: &Workload,
+    flood: Flood,
+    rng: &mut StdRng,
+    requests: &mut Vec<WorkloadRequest>,
+) {
     let span = Span {
         from_s: flood.from_s,
         to_s: flood.to_s,
     };
-    draw_uncounted(sheet, span, flood.per_s, rng, requests);
+    draw_unscored(workload, span, flood.requests_per_s, rng, requests);
 }
 
 /// Quick questions in a part of the day that count for nothing.
-fn draw_uncounted(
-    sheet: &Sheet,
+fn draw_unscored(
+    workload: &Workload,
     span: Span,
-    per_s: f64,
+    requests_per_s: f64,
     rng: &mut StdRng,
-    requests: &mut Vec<SheetRequest>,
+    requests: &mut Vec<WorkloadRequest>,
 ) {
-    let quick = &sheet.kinds[0];
-    let answer = quick.events as u64 * u64::from(sheet.spec.steps_per_pass);
-    let count = ((span.to_s - span.from_s) * per_s) as usize;
+    let quick = &workload.kinds[0];
+    let answer = quick.events as u64 * u64::from(workload.spec.steps_per_pass);
+    let count = ((span.to_s - span.from_s) * requests_per_s) as usize;
     for _ in 0..count {
-        requests.push(SheetRequest {
+        requests.push(WorkloadRequest {
             at_ms: rng.random_range(span.from_s..span.to_s) * 1000.0,
             kind: 0,
-            account: FLOODING,
+            account: UNSCORED_ACCOUNT,
             prompt_tokens: quick.prompt_tokens as u64,
             answer_tokens: answer,
-            answer_estimate: answer,
+            estimated_answer_tokens: answer,
             worth: 0.0,
             late_worth: 0.0,
-            crashes: false,
+            crashes_engine: false,
         });
     }
 }
 
 /// Attempts of a request that ends engines.
-fn draw_crashing(
-    sheet: &Sheet,
+fn draw_crashing_request(
+    workload: &Workload,
     crashing: CrashingRequest,
     rng: &mut StdRng,
-    requests: &mut Vec<SheetRequest>,
+    requests: &mut Vec<WorkloadRequest>,
 ) {
     let first = requests.len();
-    draw_uncounted(sheet, crashing.span, crashing.per_s, rng, requests);
+    draw_unscored(
+        workload,
+        crashing.span,
+        crashing.requests_per_s,
+        rng,
+        requests,
+    );
     for request in &mut requests[first..] {
-        request.crashes = true;
+        request.crashes_engine = true;
     }
 }
 
 /// A client account; each asks half as much again as the next.
 fn draw_account(rng: &mut StdRng) -> usize {
-    let last = ACCOUNTS - 1;
+    let last = ACCOUNT_COUNT - 1;
     (0..last)
         .find(|_| rng.random::<f64>() < 1.0 / 3.0)
         .unwrap_or(last)
 }
 
-fn factor(kind: &KindOfRequest, at_s: f64) -> f64 {
+fn phase_factor(kind: &RequestKind, at_s: f64) -> f64 {
     let phase = PHASES.iter().position(|(b, e)| (*b..*e).contains(&at_s));
     phase.map_or(1.0, |p| kind.phases[p])
 }
--- a/crates/azuresaddle-standin/src/passes/sheets.rs
+++ b/crates/azuresaddle-standin/src/passes/workloads.rs
@@ -2,23 +2,23 @@
 
 use azuresaddle_core::deployment::EngineSpec;
 
-use super::placers::Placers;
-use super::sheet::{KindOfRequest, Sheet};
-use super::troubles::Troubles;
+use super::faults::Faults;
+use super::pool_layout::PoolLayout;
+use super::workload::{RequestKind, Workload};
 
-impl Sheet {
+impl Workload {
     /// Quick questions, reviews and digests on 18 engines.
     pub fn sabarmati(load: f64) -> Self {
         Self {
             name: "sabarmati",
             engines: 18,
-            spec: usual_engine(),
-            kinds: usual_kinds([39.5, 2.87, 1.19]),
+            spec: default_engine(),
+            kinds: default_kinds([39.5, 2.87, 1.19]),
             load,
             length_s: 34.0,
             domains: 3,
-            placers: Placers::One,
-            troubles: Troubles::default(),
+            pool_layout: PoolLayout::Single,
+            faults: Faults::default(),
         }
     }
 
@@ -27,13 +27,13 @@
         Self {
             name: "aguaclara",
             engines: 14,
-            spec: usual_engine(),
-            kinds: usual_kinds([30.7, 2.23, 0.922]),
+            spec: default_engine(),
+            kinds: default_kinds([30.7, 2.23, 0.922]),
             load,
             length_s: 34.0,
             domains: 3,
-            placers: Placers::One,
-            troubles: Troubles::default(),
+            pool_layout: PoolLayout::Single,
+            faults: Faults::default(),
         }
     }
 
@@ -47,14 +47,14 @@
             load,
             length_s: 34.0,
             domains: 3,
-            placers: Placers::One,
-            troubles: Troubles::default(),
+            pool_layout: PoolLayout::Single,
+            faults: Faults::default(),
         }
     }
 
     /// Questions, reviews and digests on 150 engines in five failure domains.
     pub fn large(load: f64) -> Self {
-        let mut kinds = usual_kinds([217.0, 23.2, 5.32]);
+        let mut kinds = default_kinds([217.0, 23.2, 5.32]);
         let answers = [(24.3, 250.0), (14.6, 600.0), (12.2, 1000.0)];
         for (kind, (events, pause_ms)) in kinds.iter_mut().zip(answers) {
             kind.events = events;
@@ -75,21 +75,21 @@
             spec: EngineSpec {
                 slots: 10,
                 steps_per_pass: 73,
-                ..usual_engine()
+                ..default_engine()
             },
             kinds,
             load,
             length_s: 34.0,
             domains: 5,
-            placers: Placers::One,
-            troubles: Troubles::default(),
+            pool_layout: PoolLayout::Single,
+            faults: Faults::default(),
         }
     }
 
     /// All sheets by name.
     pub const NAMES: [&'static str; 4] = ["sabarmati", "aguaclara", "surf", "large"];
 
-    /// The sheet of a name; `None` where there is none.
+    /// The workload of a name; `None` where there is none.
     pub fn named(name: &str, load: f64) -> Option<Self> {
         match name {
             "sabarmati" => Some(Self::sabarmati(load)),
@@ -118,8 +118,8 @@
     }
 }
 
-fn surf_kinds() -> Vec<KindOfRequest> {
-    let mut kinds = usual_kinds([28.7, 1.45, 0.88]);
+fn surf_kinds() -> Vec<RequestKind> {
+    let mut kinds = default_kinds([28.7, 1.45, 0.88]);
     for (kind, (events, pause_ms)) in
         kinds
             .iter_mut()
@@ -138,7 +138,7 @@
     kinds
 }
 
-fn usual_engine() -> EngineSpec {
+fn default_engine() -> EngineSpec {
     EngineSpec {
         slots: 16,
         memory_tokens: 450_000,
@@ -155,11 +155,11 @@
     }
 }
 
-fn usual_kinds(per_s: [f64; 3]) -> Vec<KindOfRequest> {
+fn default_kinds(requests_per_s: [f64; 3]) -> Vec<RequestKind> {
     vec![
-        KindOfRequest {
+        RequestKind {
             name: "quick",
-            per_s: per_s[0],
+            requests_per_s: requests_per_s[0],
             prompt_tokens: 4960.0,
             prompt_spread: 0.9,
             max_prompt_tokens: 23_800.0,
@@ -173,9 +173,9 @@
             late_worth: 0.33,
             phases: [0.36, 2.5, 0.37],
         },
-        KindOfRequest {
+        RequestKind {
             name: "review",
-            per_s: per_s[1],
+            requests_per_s: requests_per_s[1],
             prompt_tokens: 45_000.0,
             prompt_spread: 0.5,
             max_prompt_tokens: 110_000.0,
@@ -189,9 +189,9 @@
             late_worth: 0.79,
             phases: [1.3, 0.5, 1.3],
         },
-        KindOfRequest {
+        RequestKind {
             name: "digest",
-            per_s: per_s[2],
+            requests_per_s: requests_per_s[2],
             prompt_tokens: 210_000.0,
             prompt_spread: 0.55,
             max_prompt_tokens: 1_000_000.0,
--- a/crates/azuresaddle-standin/src/platform/engine.rs
+++ b/crates/azuresaddle-standin/src/platform/engine.rs
@@ -137,7 +137,7 @@
             }
         }
         let steps = u64::from(self.spec.steps_per_pass);
-        for id in end.read {
+        for id in end.prefilled {
             // Parts that were read for another engine belong to a stream there.
             let Some(stream) = state.streams.get_mut(&id) else {
                 continue;
@@ -151,7 +151,7 @@
             if !state.write_event(id, left == 0, target) {
                 finished.push(id);
             } else if left > 0 {
-                state.model.add_writer(id, context, left);
+                state.model.add_decode(id, context, left);
             }
         }
         for id in finished {
@@ -196,13 +196,13 @@
                 is_mute: false,
             };
             state.streams.insert(id, stream);
-            state.model.add_read(id, prompt_tokens, parts, false);
+            state.model.add_prefill(id, prompt_tokens, parts, false);
         }
         for helper in helpers {
             let mut state = helper.lock();
             state.next_stream += 1;
             let id = state.next_stream;
-            state.model.add_read(id, prompt_tokens, parts, true);
+            state.model.add_prefill(id, prompt_tokens, parts, true);
             drop(state);
             helper.work.notify_one();
         }
--- a/crates/azuresaddle-standin/tests/suite/experiment.rs
+++ b/crates/azuresaddle-standin/tests/suite/experiment.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn short_prompts_are_hardly_delayed_by_long_ones() {
+fn long_prompts_hardly_delay_short_ones() {
     let rows = run(Experiment::Hol, &mix(120.0), Policy::Full);
     let bounds = [1.02, 1.10, 1.30, 1.30];
     assert_eq!(rows.len(), bounds.len());
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn failing_engines_lose_and_double_nothing() {
+fn engine_faults_neither_lose_nor_duplicate_answers() {
     for row in run(Experiment::Faults, &mix(120.0), Policy::Full) {
         assert!(row.hol_ratio <= 1.5, "{}", row.hol_ratio);
         assert_eq!(row.failed, 0);
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_mix_with_nonsense_is_refused() {
+fn invalid_mixes_are_rejected() {
     let unknown = serde_json::from_str::<Mix>(r#"{"enginez": {}}"#);
     assert!(unknown.is_err());
     let mix: Mix = serde_json::from_str(r#"{"load": 0}"#).expect("it parses");
