--- a/crates/azuresaddle-standin/src/cmd/passes.rs
+++ b/crates/azuresaddle-standin/src/cmd/passes.rs
@@ -1,4 +1,4 @@
-//! `passes`: policies of placement on engines that work in passes.
+//! `passes`: compares placement policies for engines that work in passes.
 
 use std::path::PathBuf;
 
--- a/crates/azuresaddle-standin/src/passes/baseline.rs
+++ b/crates/azuresaddle-standin/src/passes/baseline.rs
@@ -1,4 +1,4 @@
-//! Baselines that place each request at once, on one engine or as many as its memory needs.
+//! Baselines that place each request on arrival, on as many engines as its memory needs.
 
 use rand::Rng;
 use rand::rngs::StdRng;
@@ -6,7 +6,7 @@
 use super::engine::EngineModel;
 use super::policy::PassPolicy;
 
-/// Engines for a request, the first leads.
+/// Chooses the `members` engines with the lowest cost for a request. The first one is the lead.
 pub(super) fn choose_engines(
     policy: PassPolicy,
     engines: &[EngineModel],
--- a/crates/azuresaddle-standin/src/passes/engine.rs
+++ b/crates/azuresaddle-standin/src/passes/engine.rs
@@ -1,10 +1,10 @@
-//! Model of an engine that works in passes.
+//! Performance model of an engine that works in passes.
 
 use std::collections::VecDeque;
 
 use azuresaddle_core::deployment::EngineSpec;
 
-/// A stream that writes.
+/// A stream that is decoding.
 #[derive(Clone, Copy, Debug)]
 struct DecodingStream {
     stream: usize,
@@ -12,7 +12,7 @@
     tokens_left: u64,
 }
 
-/// A part of a prompt that is read here.
+/// A part of a prompt that this engine has to prefill.
 #[derive(Clone, Copy, Debug)]
 struct PrefillPart {
     stream: usize,
@@ -20,29 +20,30 @@
     ms_per_token: f64,
 }
 
-/// What a pass brought.
+/// Result of a pass.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PassResult {
-    /// Streams that wrote an event, and whether it was the last.
+    /// Streams that emitted an event, with whether it was their last.
     pub events: Vec<(usize, bool)>,
-    /// Streams whose part here is read.
+    /// Streams whose prompt part on this engine has been prefilled.
     pub prefilled: Vec<usize>,
 }
 
-/// One engine.
+/// State of one modelled engine.
 #[derive(Clone, Debug)]
 pub struct EngineModel {
     spec: EngineSpec,
     pace: f64,
     decoding: Vec<DecodingStream>,
-    /// Parts for other engines; read first.
+    /// Parts prefilled as a helper of other engines; they come first.
     helper_parts: VecDeque<PrefillPart>,
+    /// Parts of prompts whose answers this engine decodes.
     lead_parts: VecDeque<PrefillPart>,
     pass: Option<PassResult>,
 }
 
 impl EngineModel {
-    /// An idle engine whose work takes `pace` times the usual time.
+    /// Creates an idle engine whose work takes `pace` times as long as `spec` says.
     pub fn new(spec: EngineSpec, pace: f64) -> Self {
         Self {
             spec,
@@ -54,7 +55,8 @@
         }
     }
 
-    /// Queues a part of a prompt of `prompt_tokens`, split evenly over `parts` engines.
+    /// Queues this engine's part of a prompt of `prompt_tokens` that is split evenly over `parts`
+    /// engines. With `is_helper`, another engine decodes the answer.
     pub fn add_prefill(
         &mut self,
         stream: usize,
@@ -78,7 +80,8 @@
         }
     }
 
-    /// Starts to write an answer; its first event is out.
+    /// Starts to decode an answer whose first event has been emitted. `context` is the length of the
+    /// context in tokens.
     pub fn add_decode(&mut self, stream: usize, context: u64, tokens_left: u64) {
         self.decoding.push(DecodingStream {
             stream,
@@ -87,7 +90,7 @@
         });
     }
 
-    /// Forgets a stream, whose caller or another engine of it is gone.
+    /// Removes a stream, because its caller disconnected or another of its engines failed.
     pub fn remove(&mut self, stream: usize) {
         self.decoding.retain(|s| s.stream != stream);
         self.helper_parts.retain(|p| p.stream != stream);
@@ -98,29 +101,29 @@
         }
     }
 
-    /// Whether a pass runs.
+    /// Whether a pass is running.
     pub fn is_busy(&self) -> bool {
         self.pass.is_some()
     }
 
-    /// Streams that write or wait to be read here.
+    /// Number of streams that decode on this engine or wait for their prefill as its own streams.
     pub fn stream_count(&self) -> usize {
         self.decoding.len() + self.lead_parts.len()
     }
 
-    /// Time to read all that waits here, in milliseconds.
+    /// Time to prefill all queued parts, in milliseconds.
     pub fn prefill_backlog_ms(&self) -> f64 {
         let parts = self.helper_parts.iter().chain(&self.lead_parts);
         parts.map(|p| p.tokens_left as f64 * p.ms_per_token).sum()
     }
 
-    /// Begins the next pass and returns its time in milliseconds; `None` where there is no work.
+    /// Begins the next pass and returns its duration in milliseconds, or `None` if there is no work.
     pub fn begin_pass(&mut self) -> Option<f64> {
         if self.decoding.is_empty() && self.lead_parts.is_empty() && self.helper_parts.is_empty() {
             return None;
         }
         let steps = if self.decoding.is_empty() {
-            // Everything that waits is read.
+            // Without decoding streams a pass prefills all queued parts.
             let parts = self.helper_parts.iter().chain(&self.lead_parts);
             let tokens: u64 = parts.map(|p| p.tokens_left).sum();
             let per_step = u64::from(self.spec.max_prefill_tokens_per_step);
@@ -170,7 +173,7 @@
         self.decoding.retain(|s| s.tokens_left > 0);
     }
 
-    /// Ends the pass.
+    /// Ends the running pass and returns its result, which is empty if no pass was running.
     pub fn end_pass(&mut self) -> PassResult {
         self.pass.take().unwrap_or_default()
     }
--- a/crates/azuresaddle-standin/src/passes/faults.rs
+++ b/crates/azuresaddle-standin/src/passes/faults.rs
@@ -1,69 +1,69 @@
-//! What goes wrong on a day in virtual time.
+//! Faults and load spikes of a simulated day.
 
-/// Faults of a day; none unless set.
+/// Faults and load spikes of a day. The default has none.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Faults {
-    /// Time after which another node places, over and over, in seconds.
+    /// Time between changes of the owner of each pool, in seconds.
     pub owner_change_interval_s: Option<f64>,
-    /// Engines that are slow all day.
+    /// Engines that are slow during the whole day.
     pub slow_engines: Option<SlowEngines>,
-    /// An account that asks far more than the others.
+    /// A client account that sends far more requests than the others.
     pub flood: Option<Flood>,
-    /// Part of the engines that is gone for good.
+    /// Fraction of the engines that is missing during the whole day.
     pub lost_engine_share: f64,
-    /// Times that quick questions come as often in their own phase of the day; 0 for the usual.
+    /// Factor of the rate of the first request kind; 0 leaves the rate as it is.
     pub quick_burst_factor: f64,
-    /// The owner of a pool decides nothing for a while, over and over.
+    /// Repeated stalls of the owner of the first pool.
     pub owner_stalls: Option<OwnerStall>,
-    /// Two nodes place in the same pool for a while.
+    /// Period in which two nodes act as owners of the first pool.
     pub split_brain: Option<SplitBrain>,
-    /// Nodes that reach engines and callers, but no other node.
+    /// Nodes that can reach engines and callers, but no other node.
     pub isolated_nodes: Option<IsolatedNodes>,
-    /// A request that ends each engine that begins to write its answer, and comes again and again.
+    /// A repeated request that crashes each engine that begins to decode its answer.
     pub crashing_request: Option<CrashingRequest>,
-    /// Engines that limit their rate for a while.
+    /// Engines that limit their request rate for a part of the day.
     pub rate_limited: Option<RateLimitedEngines>,
 }
 
-/// Engines that name a limit for all nodes together.
+/// Engines that announce a rate limit, which holds for all nodes together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RateLimitedEngines {
-    /// Their number; the first ones, on which short streams are packed.
+    /// Number of limited engines. They are the first ones, on which short streams are packed.
     pub count: usize,
-    /// Requests a second that each of them takes.
+    /// Limit of each engine, in requests per second.
     pub requests_per_s: f64,
-    /// While they do.
+    /// Time span of the limit.
     pub span: Span,
 }
 
-/// A request that ends engines; it counts for nobody's worth.
+/// A request that crashes engines. It is not scored.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CrashingRequest {
-    /// While it comes.
+    /// Time span in which it is sent.
     pub span: Span,
-    /// Attempts a second.
+    /// Attempts per second.
     pub requests_per_s: f64,
-    /// Time until another engine is there in the stead of one that ended, in seconds.
+    /// Time until a crashed engine is replaced by a new one, in seconds.
     pub replacement_delay_s: f64,
 }
 
-/// Stalls of an owner.
+/// Repeated stalls of a pool owner, in which it decides nothing.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OwnerStall {
-    /// Time from one to the next, in seconds.
+    /// Time from the start of one stall to the next, in seconds.
     pub interval_s: f64,
-    /// Time of one, in seconds.
+    /// Duration of each stall, in seconds.
     pub duration_s: f64,
 }
 
-/// Two owners at a time; each gets half of the requests and knows only of these.
+/// Two concurrent owners of a pool. Each gets half of the requests and knows only these.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SplitBrain {
-    /// Until all nodes agree again.
+    /// Time span until all nodes agree on one owner again.
     pub span: Span,
 }
 
-/// A part of a day.
+/// A time span within a day.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Span {
     /// When it begins, in seconds.
@@ -73,45 +73,45 @@
 }
 
 impl Span {
-    /// Whether a moment, in milliseconds, is in it.
+    /// Whether a time in milliseconds lies within the span.
     pub(super) fn contains(&self, at_ms: f64) -> bool {
         (self.from_s * 1000.0..self.to_s * 1000.0).contains(&at_ms)
     }
 }
 
-/// Nodes that are cut off from all others, each alone.
+/// Nodes that are each partitioned from all other nodes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct IsolatedNodes {
-    /// Their number.
+    /// Number of isolated nodes.
     pub count: usize,
-    /// Part of the requests that they get.
+    /// Fraction of the requests that arrive at them.
     pub request_share: f64,
-    /// While they are cut off.
+    /// Time span of the partition.
     pub span: Span,
 }
 
-/// One client account's flood of quick questions; they count for nobody's worth.
+/// A flood of requests of the first kind from one client account. They are not scored.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Flood {
     /// When it begins, in seconds.
     pub from_s: f64,
     /// When it ends, in seconds.
     pub to_s: f64,
-    /// Requests a second.
+    /// Requests per second.
     pub requests_per_s: f64,
 }
 
 /// Engines that are slower than the others.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlowEngines {
-    /// Their number.
+    /// Number of slow engines.
     pub count: usize,
-    /// Time of their work against that of a usual engine.
+    /// Factor by which their work takes longer than on the other engines.
     pub pace: f64,
 }
 
 impl Faults {
-    /// Names of the troubles that [`Faults::add`] knows.
+    /// Names of the faults that [`Faults::add`] knows.
     pub const NAMES: [&'static str; 11] = [
         "owner-changes",
         "slow-engines",
@@ -126,10 +126,10 @@
         "limited-engines",
     ];
 
-    /// Adds a trouble in its usual strength; a name that is not known changes nothing.
+    /// Adds a fault by name, with its default parameters. An unknown name has no effect.
     pub fn add(&mut self, name: &str) {
         match name {
-            // Restarts in series change the owner as often.
+            // A rolling restart of the nodes changes the owner this often.
             "owner-changes" => self.owner_change_interval_s = Some(4.0),
             // About a sixth of the engines.
             "slow-engines" => {
@@ -138,7 +138,7 @@
                     pace: 3.0,
                 });
             }
-            // Several times what all the others ask in that phase.
+            // Several times the requests of all other accounts in that phase.
             "flood" => {
                 self.flood = Some(Flood {
                     from_s: 13.0,
@@ -147,16 +147,16 @@
                 });
             }
             "few-engines" => self.lost_engine_share = 0.3,
-            // With few engines about twice what these can do.
+            // Together with `few-engines`, about twice the load that the engines can serve.
             "quick-burst" => self.quick_burst_factor = 1.4,
-            // What it takes to notice a killed owner.
+            // As long as it takes to detect that an owner was killed.
             "short-stalls" => {
                 self.owner_stalls = Some(OwnerStall {
                     interval_s: 8.0,
                     duration_s: 0.3,
                 });
             }
-            // A frozen owner that is waited for.
+            // As long as a frozen owner is waited for.
             "long-stalls" => {
                 self.owner_stalls = Some(OwnerStall {
                     interval_s: 8.0,
@@ -182,7 +182,7 @@
                     },
                 });
             }
-            // As callers of such a request were seen to repeat it.
+            // The rate at which callers were observed to repeat such a request.
             "crashing-request" => {
                 self.crashing_request = Some(CrashingRequest {
                     span: Span {
@@ -193,7 +193,8 @@
                     replacement_delay_s: 3.5,
                 });
             }
-            // A third of a small pool, as far below their share as engines in need were seen to ask.
+            // A third of a small pool, with limits as far below their share of the load as overloaded
+            // engines were observed to announce.
             "limited-engines" => {
                 self.rate_limited = Some(RateLimitedEngines {
                     count: 5,
@@ -208,12 +209,12 @@
         }
     }
 
-    /// Engines that are left of a number.
+    /// Number of engines that remain of `engines`.
     pub(super) fn engines_left(&self, engines: usize) -> usize {
         engines - (engines as f64 * self.lost_engine_share) as usize
     }
 
-    /// Time of an engine's work against that of a usual engine.
+    /// Factor by which the work of an engine takes longer than usual.
     pub(super) fn pace(&self, engine: usize) -> f64 {
         match self.slow_engines {
             Some(slow) if engine < slow.count => slow.pace,
--- a/crates/azuresaddle-standin/src/passes/mod.rs
+++ b/crates/azuresaddle-standin/src/passes/mod.rs
@@ -1,8 +1,8 @@
-//! Policies of placement on engines that work in passes, side by side in virtual time.
+//! Compares placement policies for engines that work in passes, in virtual time.
 //!
 //! The product's [`azuresaddle_sched::passes::PassPool`] runs unchanged against a model of the
-//! engines, beside baselines and beside itself with single ideas switched off. The same seed gives
-//! the same figures.
+//! engines. It is compared with baselines and with itself, with single mechanisms switched off. The
+//! same seed gives the same results.
 
 mod baseline;
 mod engine;
--- a/crates/azuresaddle-standin/src/passes/plot.rs
+++ b/crates/azuresaddle-standin/src/passes/plot.rs
@@ -8,10 +8,10 @@
 /// Size of a plot, in pixels.
 const SIZE: (u32, u32) = (900, 520);
 
-/// Draws the worth of each day by policy as an SVG text.
+/// Draws the worth of each day as an SVG document, one curve per policy.
 ///
 /// # Errors
-/// Where the drawing fails.
+/// Fails if the plot cannot be drawn.
 pub fn plot_worth(rows: &[Vec<DayResults>]) -> Result<String> {
     let mut svg = String::new();
     draw(rows, &mut svg).map_err(|e| anyhow!("plot: {e}"))?;
--- a/crates/azuresaddle-standin/src/passes/policy.rs
+++ b/crates/azuresaddle-standin/src/passes/policy.rs
@@ -1,45 +1,46 @@
-//! Policies: the product, the product with single ideas off, and baselines.
+//! Placement policies: the product, the product with single mechanisms switched off, and baselines.
 
 use std::str::FromStr;
 
 use azuresaddle_sched::passes::{Mechanism, PassOptions};
 
-/// How requests are placed.
+/// A placement policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PassPolicy {
-    /// The product.
+    /// The product's pool with all mechanisms.
     Pool,
-    /// Without packing of short streams.
+    /// The pool without packing of short streams.
     NoPacking,
-    /// Without the check of pauses.
+    /// The pool without the check that no stream exceeds its longest pause.
     NoPauseCheck,
-    /// Without splitting long prompts.
+    /// The pool without splitting of long prompts.
     NoSplitting,
-    /// Long prompts that read quickest first.
+    /// The pool, with the long prompts that prefill fastest placed first.
     ShortestFirst,
-    /// Long prompts take whatever engines are free.
+    /// The pool, with long prompts taking the free engines instead of waiting for more.
     NoWaitForEngines,
-    /// Never makes a short stream late for a long prompt.
+    /// The pool, never making a short stream late for a long prompt.
     NoBreakPauses,
-    /// Holds every prompt until its caller gives up.
+    /// The pool, holding every prompt until its caller gives up instead of refusing it early.
     NoEarlyRefusal,
-    /// Lets short prompts wait however many there are.
+    /// The pool, letting short prompts wait however long the queue is.
     NoCrowdRefusal,
-    /// Parts may push aside what an engine reads for itself.
+    /// The pool, also placing parts on engines that are prefilling another one.
     NoReadProtection,
-    /// Never asks engines for their pace.
+    /// The pool without pace probes.
     NoPaceChecks,
-    /// Prompts in the order of their arrival, whoever sent them.
+    /// The pool without fair shares: prompts are served in order of arrival, whichever client account
+    /// sent them.
     NoFairShares,
-    /// Copies of a request that an engine has ended under run side by side.
+    /// The pool, running copies of a request that an engine has crashed under concurrently.
     NoSuspectTurns,
-    /// Requests that end engines are sent on.
+    /// The pool without the quarantine of requests that crash engines.
     NoQuarantine,
-    /// Any engine, at once.
+    /// Baseline: a random engine, on arrival.
     Random,
-    /// The engine with the fewest streams, at once.
+    /// Baseline: the engine with the fewest streams, on arrival.
     LeastRequests,
-    /// The engine with the least to read, at once.
+    /// Baseline: the engine with the smallest prefill backlog, on arrival.
     LeastBacklog,
 }
 
@@ -88,12 +89,12 @@
         }
     }
 
-    /// Whether requests that end engines are kept from them.
+    /// Whether requests that crash engines are quarantined.
     pub(super) fn has_quarantine(self) -> bool {
         self != Self::NoQuarantine
     }
 
-    /// Options of the pool; `None` for a baseline.
+    /// Options of the pool, or `None` for a baseline.
     pub(super) fn options(self) -> Option<PassOptions> {
         let all = PassOptions::default();
         Some(match self {
--- a/crates/azuresaddle-standin/src/passes/pool_layout.rs
+++ b/crates/azuresaddle-standin/src/passes/pool_layout.rs
@@ -1,21 +1,22 @@
-//! Who places on which engines, in virtual days of a large fleet.
+//! Division of the engines into pools, for simulations of a large fleet.
 
 use std::str::FromStr;
 
-/// How the engines are shared among nodes that place.
+/// How the engines are divided into pools. Each pool is owned by a node that places its requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PoolLayout {
-    /// One node places on all engines.
+    /// One pool with all engines.
     Single,
-    /// As many pools of engines, each with a node that places there; a request goes to the better of
-    /// two pools, a long prompt to the one with most room, by loads that are a little old.
+    /// This many pools. A request goes to the less loaded of two random pools, a long prompt to the
+    /// least loaded of all, by published loads that are slightly out of date.
     Count(usize),
-    /// A pool a failure domain; a request goes to its own unless that has much less room.
+    /// One pool per failure domain. A request goes to the pool of its own domain unless that is much
+    /// more loaded than the best one.
     PerDomain,
 }
 
 impl PoolLayout {
-    /// Pools over all engines of a deployment with as many failure domains.
+    /// Number of pools in a deployment with `domains` failure domains.
     pub(super) fn pool_count(self, domains: usize) -> usize {
         match self {
             Self::Single => 1,
@@ -24,7 +25,7 @@
         }
     }
 
-    /// The pool of an engine.
+    /// Index of the pool that an engine belongs to.
     pub(super) fn pool_of(self, engine: usize, domains: usize) -> usize {
         engine % self.pool_count(domains)
     }
--- a/crates/azuresaddle-standin/src/passes/scoring.rs
+++ b/crates/azuresaddle-standin/src/passes/scoring.rs
@@ -1,13 +1,13 @@
-//! Worth of a day, by the users' own rules for credit.
+//! Scores a simulated day by the users' own rules for credit.
 
 use serde::Serialize;
 
 use super::workload::{UNSCORED_ACCOUNT, Workload, WorkloadRequest};
 
-/// Length of the windows of which the two worst count, in milliseconds.
+/// Length of the time windows of which the two worst are scored, in milliseconds.
 const WINDOW_MS: f64 = 3000.0;
 
-/// Weights of the whole day, of the worst windows and of the worst kind.
+/// Weights of the whole day, of the two worst windows and of the worst request kind.
 const WEIGHTS: (f64, f64, f64) = (0.6, 0.25, 0.15);
 
 /// How one request ended.
@@ -18,60 +18,63 @@
     Lost,
 }
 
-/// Figures of one kind of request.
+/// Results of one request kind.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct KindResults {
-    /// Name of the kind.
+    /// Name of the request kind.
     pub name: String,
-    /// Requests.
+    /// Number of requests.
     pub asked: usize,
-    /// Answered on time.
+    /// Requests answered on time.
     pub on_time: usize,
-    /// Answered.
+    /// Requests answered, on time or late.
     pub served: usize,
     /// Credit earned over credit owed.
     pub worth: f64,
-    /// Share that was answered of the largest tenth.
+    /// Fraction answered of the tenth of the requests with the longest prompts.
     pub largest_served: f64,
     /// Median, 95th and 99th percentile of the time to the first event, in milliseconds.
     pub first_event_ms: [f64; 3],
 }
 
-/// Figures of one day.
+/// Results of one simulated day.
 #[derive(Clone, Debug, Serialize)]
 pub struct DayResults {
-    /// Policy.
+    /// Name of the policy.
     pub policy: String,
-    /// Seed.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// Whole day, worst windows and worst kind, weighted, less what is lost by holding.
+    /// Score: weighted mean of the whole day, the two worst windows and the worst request kind, less
+    /// the loss by holding.
     pub worth: f64,
-    /// Credit earned over credit owed.
+    /// Credit earned over credit owed, for the whole day.
     pub day: f64,
-    /// Part of the worth that is lost by holding requests without trying them.
+    /// Fraction of the credit owed that is lost by holding requests without sending them to an
+    /// engine.
     pub held: f64,
-    /// The same over the two worst windows.
+    /// Credit earned over credit owed, mean of the two worst windows.
     pub windows: f64,
-    /// Most requests, and parts of them, that an engine which limits its rate got in 4 s, over what the limit allows.
+    /// Highest number of requests and prompt parts that a rate-limited engine received within 4 s,
+    /// over the number that its limit allows.
     pub limit_use: f64,
-    /// By kind.
+    /// Results of each request kind.
     pub kinds: Vec<KindResults>,
 }
 
-/// What happened on a day, by request.
+/// Record of a simulated day; each slice is indexed by request.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SimulatedDay<'a> {
     pub(super) requests: &'a [WorkloadRequest],
     pub(super) outcomes: &'a [RequestOutcome],
     /// Time to the first event, in milliseconds.
     pub(super) first_event_ms: &'a [Option<f64>],
-    /// Part of the worth that is lost by holding a request without trying it.
+    /// Fraction of the worth lost by holding the request without sending it to an engine.
     pub(super) held: &'a [f64],
-    /// As in the results.
+    /// See [`DayResults::limit_use`].
     pub(super) limit_use: f64,
 }
 
-/// Sums a day up.
+/// Computes the results of a day.
 pub(super) fn score_day(
     workload: &Workload,
     day: &SimulatedDay<'_>,
--- a/crates/azuresaddle-standin/src/passes/simulation.rs
+++ b/crates/azuresaddle-standin/src/passes/simulation.rs
@@ -1,4 +1,4 @@
-//! Plays one day.
+//! Event-driven simulation of one day.
 
 mod crashes;
 mod engines;
@@ -27,19 +27,19 @@
 use super::scoring::{DayResults, RequestOutcome, SimulatedDay, score_day};
 use super::workload::{RequestKind, Workload, WorkloadRequest, generate_requests};
 
-/// Time from a decision until the engine has the request, in milliseconds.
+/// Time from a placement decision until the engine has the request, in milliseconds.
 const ENGINE_DELAY_MS: f64 = 3.0;
 
-/// Time from an event until the owner of the pool knows of it, in milliseconds.
+/// Time from an event until the owner of the pool learns of it, in milliseconds.
 const OWNER_DELAY_MS: f64 = 4.0;
 
-/// Time between the caller and the node, there and back, in milliseconds.
+/// Round-trip time between caller and node, in milliseconds.
 const CALLER_ROUND_TRIP_MS: f64 = 8.0;
 
-/// The node that asks.
+/// Node that sends all placement requests.
 const NODE_ID: u64 = 1;
 
-/// What happens next.
+/// A scheduled event. Events of the same time are handled in the order of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Arrival(usize),
@@ -48,34 +48,34 @@
     FirstEventReported(usize),
     EndReported(usize),
     OwnerChange,
-    /// An engine's answer about its pace, to a placer.
+    /// A placer receives an engine's reply to a pace probe; engine and placer.
     PaceReported(usize, usize),
-    /// The nodes learn of the pools' loads.
+    /// All nodes learn the loads of the pools.
     PublishLoads,
-    /// A placer stops deciding for a while.
+    /// The first placer stalls.
     Stall,
-    /// Two owners of a pool become one again.
+    /// A pool with two owners has one again.
     SplitBrainEnd,
-    /// The streams of an engine that ended break off.
+    /// An engine crashes, and its streams fail.
     Crash(usize),
-    /// A stream whose engine ended wants another one.
+    /// A stream whose engine crashed or declined it asks for another placement.
     Retry(usize),
-    /// Another engine starts in the stead of one that ended.
+    /// A new engine replaces a crashed one.
     EngineReplaced(usize),
-    /// Engines begin or cease to limit their rate.
+    /// Rate limits of engines begin or end.
     RateLimitChange,
-    /// A placer's own timer.
+    /// A placer's timer expires.
     Wakeup(usize),
 }
 
-/// A request in the day.
+/// State of a request during the day.
 #[derive(Clone, Debug, Default)]
 struct Stream {
-    /// What was asked, until the end is known.
+    /// The placement request, until the owner knows that the stream has ended.
     placement: Option<PlacementRequest>,
-    /// The placer that was asked.
+    /// The placer that received the placement request.
     placer: usize,
-    /// Where it runs, and when its first event is expected.
+    /// The grant, and when the first event is expected.
     grant: Option<(PlacementGrant, Instant)>,
     engines: Vec<usize>,
     parts_left: usize,
@@ -84,13 +84,13 @@
     longest_pause_ms: f64,
     ended_at: Option<f64>,
     refused_at: Option<f64>,
-    /// Engines that ended under it.
+    /// Number of engines that crashed while they ran it.
     crash_count: u32,
-    /// Events that its caller has.
+    /// Number of events that the caller has received.
     events: u64,
 }
 
-/// Plays one day with one policy.
+/// Simulates one day of a workload with one policy.
 pub fn simulate_day(workload: &Workload, policy: PassPolicy, seed: u64) -> DayResults {
     let requests = generate_requests(workload, seed);
     let mut simulation = Simulation::new(workload, policy, &requests, seed);
@@ -122,9 +122,9 @@
     requests: &'a [WorkloadRequest],
     streams: Vec<Stream>,
     engines: Vec<EngineModel>,
-    /// Engines that ended.
+    /// Whether each engine has crashed.
     crashed: Vec<bool>,
-    /// When each engine got a request or a part of one, in milliseconds.
+    /// Times at which each engine received a request or a prompt part, in milliseconds.
     received_at_ms: Vec<Vec<f64>>,
     quarantine: Quarantine,
     names: Vec<HostName>,
@@ -272,7 +272,7 @@
         self.placers[placer].pool.enqueue(now, placement);
     }
 
-    /// The placer that has a stream in its ledger; `None` for a baseline.
+    /// The placer that accounts for a stream, or `None` for a baseline.
     fn placer_of(&mut self, i: usize) -> Option<&mut Placer> {
         let placer = self.streams[i].placer;
         self.placers.get_mut(placer)
@@ -335,7 +335,7 @@
     }
 }
 
-/// Time after which a caller gives up if no event has come.
+/// Time after which a caller gives up if it has received no event, in milliseconds.
 fn give_up_ms(kind: &RequestKind) -> f64 {
     2000f64
         .max(4.0 * kind.first_event_ms)
--- a/crates/azuresaddle-standin/src/passes/simulation/crashes.rs
+++ b/crates/azuresaddle-standin/src/passes/simulation/crashes.rs
@@ -1,6 +1,7 @@
-//! Engines that end under a request which comes again and again.
+//! Engine crashes caused by a repeated request.
 //!
-//! What the nodes hold against requests is what they hold in the product; nodes are taken to know the same at once.
+//! Requests are quarantined by the product's own rules. All nodes are assumed to share one state of
+//! the quarantine without delay.
 
 use std::time::Duration;
 
@@ -11,11 +12,11 @@
 use super::{Event, OWNER_DELAY_MS, Simulation, Stream, placement_id};
 use crate::passes::engine::EngineModel;
 
-/// Most engines that one request is sent to, as the users' routes have it.
+/// Maximum number of engines that may run a request, as in the users' routes.
 const MAX_RUNS: u32 = 2;
 
 impl Simulation<'_> {
-    /// Fingerprint of a request: all that end engines are the same one.
+    /// Fingerprint of a request. All requests that crash engines share one.
     pub(super) fn fingerprint(&self, i: usize) -> Fingerprint {
         let name = if self.requests[i].crashes_engine {
             usize::MAX
@@ -25,7 +26,7 @@
         Fingerprint::of(&[&name.to_le_bytes()])
     }
 
-    /// Whether a request is kept from all engines now.
+    /// Whether a request is in quarantine now.
     pub(super) fn is_quarantined(&self, at_ms: f64, i: usize) -> bool {
         let status = self
             .quarantine
@@ -33,7 +34,7 @@
         self.policy.has_quarantine() && status.is_quarantined()
     }
 
-    /// The request as a suspect, where an engine has ended under it.
+    /// Returns the request as a suspect if an engine has crashed while it ran there.
     pub(super) fn suspect(&self, at_ms: f64, i: usize) -> Option<Suspect> {
         let request = self.fingerprint(i);
         if !self.policy.has_quarantine() || !self.quarantine.knows(request) {
@@ -47,7 +48,8 @@
         })
     }
 
-    /// An engine ends: each stream there goes on elsewhere or is lost, and another engine comes in its stead later.
+    /// Crashes an engine. Its streams are retried on other engines or lost, and a new engine replaces
+    /// it later.
     pub(super) fn crash(&mut self, at_ms: f64, engine: usize) {
         if std::mem::replace(&mut self.crashed[engine], true) {
             return;
@@ -72,6 +74,7 @@
         }
     }
 
+    /// Fails a stream because one of its engines crashed, and schedules a retry.
     fn fail_stream(&mut self, at_ms: f64, i: usize, engine: usize) {
         let now = self.instant(at_ms);
         let request = self.fingerprint(i);
@@ -93,7 +96,7 @@
         self.push(at_ms + OWNER_DELAY_MS, Event::Retry(i));
     }
 
-    /// A stream was sent to engines of which one has ended; it has not run.
+    /// Handles a stream that was sent to a crashed engine: it has not run and is retried.
     pub(super) fn decline_stream(&mut self, at_ms: f64, i: usize) {
         let now = self.instant(at_ms);
         let lead = self.streams[i].engines[0];
@@ -108,7 +111,7 @@
         self.push(at_ms + OWNER_DELAY_MS, Event::Retry(i));
     }
 
-    /// A stream whose engine ended goes on elsewhere, where its route allows it.
+    /// Requests another placement for a stream, unless it has used up its runs or is in quarantine.
     pub(super) fn retry(&mut self, at_ms: f64, i: usize) {
         let suspect = self.suspect(at_ms, i);
         let is_over = self.streams[i].crash_count >= MAX_RUNS || self.is_quarantined(at_ms, i);
@@ -127,7 +130,7 @@
         }
     }
 
-    /// Another engine starts in the stead of one that ended.
+    /// Replaces a crashed engine with a new one.
     pub(super) fn replace_engine(&mut self, at_ms: f64, engine: usize) {
         let now = self.instant(at_ms);
         let added = self.engines.len();
--- a/crates/azuresaddle-standin/src/passes/simulation/engines.rs
+++ b/crates/azuresaddle-standin/src/passes/simulation/engines.rs
@@ -1,4 +1,4 @@
-//! What happens at the engines of a played day.
+//! Engine events of a simulated day.
 
 use super::{Event, OWNER_DELAY_MS, Simulation};
 
@@ -6,7 +6,7 @@
     pub(super) fn on_engines_reached(&mut self, at_ms: f64, i: usize) {
         let engines = self.streams[i].engines.clone();
         if engines.iter().any(|e| self.crashed[*e]) {
-            // It ended on the way.
+            // The engine crashed while the request was on its way.
             return self.decline_stream(at_ms, i);
         }
         self.streams[i].parts_left = engines.len();
--- a/crates/azuresaddle-standin/src/passes/simulation/outcome.rs
+++ b/crates/azuresaddle-standin/src/passes/simulation/outcome.rs
@@ -1,10 +1,10 @@
-//! How a request of a played day ended, and what holding it cost.
+//! Outcome of a request in a simulated day, and the loss caused by holding it.
 
 use super::{CALLER_ROUND_TRIP_MS, Simulation, give_up_ms};
 use crate::passes::scoring::RequestOutcome;
 
 impl Simulation<'_> {
-    /// Part of a request's worth that is lost because it was held without being tried.
+    /// Fraction of a request's worth that is lost because it was held without being sent to an engine.
     pub(super) fn holding_loss(&self, i: usize) -> f64 {
         let stream = &self.streams[i];
         if !stream.engines.is_empty() {
--- a/crates/azuresaddle-standin/src/passes/simulation/placer.rs
+++ b/crates/azuresaddle-standin/src/passes/simulation/placer.rs
@@ -1,4 +1,4 @@
-//! The nodes that place in a day, and which of them gets a request.
+//! The nodes that place requests, and the choice of the node for each request.
 
 use azuresaddle_core::prelude::*;
 use azuresaddle_sched::passes::{PassPool, PoolLoad};
@@ -9,25 +9,26 @@
 use super::{Event, Simulation};
 use crate::passes::pool_layout::PoolLayout;
 
-/// Time between two publications of a pool's load, in milliseconds: two rounds of heartbeats.
+/// Interval at which the load of a pool is published, in milliseconds: two rounds of heartbeats.
 const PUBLISH_INTERVAL_MS: f64 = 400.0;
 
-/// Times that the own failure domain's pool may be as loaded as another before requests spill over.
+/// Ratio of the load of the own failure domain's pool to that of the best pool above which requests
+/// spill over.
 const SPILL_FACTOR: f64 = 1.3;
 
-/// A node that places.
+/// A node that places requests on engines.
 pub(super) struct Placer {
     pub(super) pool: PassPool,
-    /// The load that other nodes know.
+    /// The load last published to other nodes.
     pub(super) published: PoolLoad,
-    /// Until when it decides nothing, in milliseconds.
+    /// Time until which it is stalled, in milliseconds.
     pub(super) stalled_until_ms: f64,
-    /// When its own timer is set for, in microseconds.
+    /// Time at which its timer expires, in microseconds.
     pub(super) wakeup_at: Option<u64>,
 }
 
 impl Simulation<'_> {
-    /// A pool that knows of no stream, over the engines that belong to it.
+    /// Creates the pool of a placer, without streams, or `None` for a baseline.
     pub(super) fn new_pool(&self, now: Instant, index: usize) -> Option<PassPool> {
         let options = self.policy.options()?;
         let mut pool = PassPool::new(options, self.workload.spec.clone());
@@ -46,7 +47,7 @@
         Some(pool)
     }
 
-    /// Pools that share the engines; placers beyond them place on all engines.
+    /// Number of pools that divide the engines. Placers with a higher index place on all engines.
     pub(super) fn pool_count(&self) -> usize {
         self.workload.pool_layout.pool_count(self.workload.domains)
     }
@@ -73,7 +74,7 @@
         self.push(PUBLISH_INTERVAL_MS, Event::PublishLoads);
     }
 
-    /// All nodes learn of the pools' loads.
+    /// Publishes the load of each pool to all nodes.
     pub(super) fn publish_loads(&mut self, at_ms: f64) {
         let now = self.instant(at_ms);
         for placer in &mut self.placers {
@@ -84,7 +85,7 @@
         }
     }
 
-    /// The placer that a request goes to.
+    /// Chooses the placer for a request.
     pub(super) fn route(&mut self, at_ms: f64, i: usize) -> usize {
         let pools = self.pool_count();
         if let Some(isolated) = self.workload.faults.isolated_nodes
@@ -108,7 +109,7 @@
     }
 
     fn is_long(&self, i: usize) -> bool {
-        // Only the first kind of a workload is read in a fraction of a pass.
+        // Only prompts of the first kind are prefilled within a fraction of a pass.
         self.requests[i].kind > 0
     }
 
--- a/crates/azuresaddle-standin/src/passes/simulation/rate_limits.rs
+++ b/crates/azuresaddle-standin/src/passes/simulation/rate_limits.rs
@@ -1,6 +1,7 @@
-//! Engines that limit their rate for a while.
+//! Engines that limit their request rate for a part of the day.
 //!
-//! All placers know of it at once. Placers other than the owner of a pool leave these engines to it.
+//! All placers learn the limits without delay. Placers that do not own a pool leave these engines to
+//! its owner.
 
 use std::time::Duration;
 
@@ -23,7 +24,7 @@
         self.placers = placers;
     }
 
-    /// Tells a pool the limits in force.
+    /// Sets the rate limits in force on a pool.
     pub(super) fn apply_rate_limits(&self, now: Instant, pool: &mut PassPool) {
         let at_ms = now.duration_since(self.origin).as_secs_f64() * 1000.0;
         let limited = self.workload.faults.rate_limited;
@@ -35,7 +36,8 @@
         pool.set_rate_limits(now, |id| limit.as_ref().filter(|_| is_limited(id)));
     }
 
-    /// Most requests that a limited engine got in a span, over what the limit allows.
+    /// Highest number of requests that a limited engine received within one check interval, over the
+    /// number that its limit allows.
     pub(super) fn limit_use(&self) -> f64 {
         let Some(limited) = self.workload.faults.rate_limited else {
             return 0.0;
--- a/crates/azuresaddle-standin/src/passes/simulation/takeover.rs
+++ b/crates/azuresaddle-standin/src/passes/simulation/takeover.rs
@@ -1,4 +1,4 @@
-//! Another node takes over the pool in the middle of a day.
+//! Owner changes, owner stalls and split brain.
 
 use azuresaddle_sched::passes::RunningStream;
 use tokio::time::Instant;
@@ -6,14 +6,14 @@
 use super::{Event, NODE_ID, OWNER_DELAY_MS, Simulation, Stream};
 
 impl Simulation<'_> {
-    /// Another node places in each pool from now on, by what the nodes tell it of their streams.
+    /// Gives each pool a new owner, which learns the running streams from the nodes.
     pub(super) fn change_owner(&mut self, at_ms: f64) {
         for index in 0..self.placers.len() {
             self.take_over(at_ms, index, &[index]);
         }
     }
 
-    /// A new owner of a pool takes over the streams of some placers.
+    /// Makes a new owner of a pool take over the streams of the placers in `from`.
     fn take_over(&mut self, at_ms: f64, index: usize, from: &[usize]) {
         let now = self.instant(at_ms);
         let Some(mut pool) = self.new_pool(now, index) else {
@@ -35,7 +35,7 @@
         self.placers[index].pool = pool;
     }
 
-    /// The owner of the first pool decides nothing for a while.
+    /// Stalls the owner of the first pool.
     pub(super) fn stall(&mut self, at_ms: f64) {
         let (Some(stall), Some(first)) =
             (self.workload.faults.owner_stalls, self.placers.first_mut())
@@ -47,7 +47,7 @@
         self.push(until_ms, Event::Wakeup(0));
     }
 
-    /// All nodes agree on one owner of the first pool again.
+    /// Ends the split brain: one owner of the first pool takes over the streams of both.
     pub(super) fn end_split_brain(&mut self, at_ms: f64) {
         let second_owner = self.pool_count();
         if second_owner < self.placers.len() {
@@ -55,7 +55,7 @@
         }
     }
 
-    /// What a node tells a new owner of a stream.
+    /// The report of a running stream to a new owner of its pool.
     pub(super) fn running(&self, now: Instant, at_ms: f64, i: usize) -> Option<RunningStream> {
         let stream = &self.streams[i];
         let placement = stream.placement.as_ref()?;
--- a/crates/azuresaddle-standin/src/passes/workload.rs
+++ b/crates/azuresaddle-standin/src/passes/workload.rs
@@ -1,4 +1,4 @@
-//! Loads: kinds of requests, their rates over a day, and the requests drawn from them.
+//! Workloads: request kinds, their rates over a day, and the requests drawn from them.
 
 use azuresaddle_core::deployment::EngineSpec;
 use rand::rngs::StdRng;
@@ -8,101 +8,103 @@
 use super::faults::{CrashingRequest, Faults, Flood, Span};
 use super::pool_layout::PoolLayout;
 
-/// A kind of request.
+/// A kind of request, with the distributions of its sizes and its targets.
 #[derive(Clone, Debug)]
 pub struct RequestKind {
     /// Name.
     pub name: &'static str,
-    /// Requests a second at the whole rate.
+    /// Requests per second at a load of 1.
     pub requests_per_s: f64,
-    /// Mean prompt, in tokens.
+    /// Mean length of the prompts, in tokens.
     pub prompt_tokens: f64,
-    /// Spread of the prompts: standard deviation of their logarithm.
+    /// Standard deviation of the logarithm of the prompt length.
     pub prompt_spread: f64,
-    /// Longest prompt, in tokens.
+    /// Maximum length of a prompt, in tokens.
     pub max_prompt_tokens: f64,
-    /// Mean events of an answer.
+    /// Mean number of events of an answer.
     pub events: f64,
-    /// Spread of the answers.
+    /// Standard deviation of the logarithm of the number of events.
     pub events_spread: f64,
-    /// Most events.
+    /// Maximum number of events of an answer.
     pub max_events: f64,
-    /// Time to the first event on time, in milliseconds.
+    /// Time by which the first event counts as on time, in milliseconds.
     pub first_event_ms: f64,
-    /// Longest pause between events on time, in milliseconds.
+    /// Longest pause between events that counts as on time, in milliseconds.
     pub pause_ms: f64,
-    /// Time by which the answer must have ended, in milliseconds.
+    /// Time by which the answer must be complete, in milliseconds.
     pub deadline_ms: f64,
-    /// Worth on time.
+    /// Worth of an answer on time, for a prompt of mean length.
     pub worth: f64,
-    /// Worth when late.
+    /// Worth of a late answer, for a prompt of mean length.
     pub late_worth: f64,
-    /// Factors of the rate in the phases of the day.
+    /// Factors of the request rate in the three phases of the day.
     pub phases: [f64; 3],
 }
 
-/// A deployment's load.
+/// A deployment with its load and the faults of a day.
 #[derive(Clone, Debug)]
 pub struct Workload {
     /// Name.
     pub name: &'static str,
     /// Number of engines.
     pub engines: usize,
-    /// Speeds and sizes of the engines.
+    /// Performance model of the engines.
     pub spec: EngineSpec,
     /// Kinds of requests.
     pub kinds: Vec<RequestKind>,
-    /// Part of the whole rate.
+    /// Factor of all request rates.
     pub load: f64,
     /// Length of the day, in seconds.
     pub length_s: f64,
-    /// Failure domains that the engines are spread over evenly.
+    /// Number of failure domains, over which the engines are spread evenly.
     pub domains: usize,
-    /// Who places on which engines.
+    /// Division of the engines into pools.
     pub pool_layout: PoolLayout,
-    /// What goes wrong.
+    /// Faults and load spikes of the day.
     pub faults: Faults,
 }
 
-/// A request.
+/// A request of a workload.
 #[derive(Clone, Debug)]
 pub struct WorkloadRequest {
-    /// When it arrives, in milliseconds.
+    /// Time of arrival, in milliseconds from the start of the day.
     pub at_ms: f64,
-    /// Index of its kind.
+    /// Index of its kind in [`Workload::kinds`].
     pub kind: usize,
-    /// Number of the client account that sends it; what [`UNSCORED_ACCOUNT`] asks is not counted.
+    /// Index of the client account that sends it; [`UNSCORED_ACCOUNT`] if it is not scored.
     pub account: usize,
     /// Length of its prompt, in tokens.
     pub prompt_tokens: u64,
     /// Length of its answer, in tokens.
     pub answer_tokens: u64,
-    /// The caller's estimate of that.
+    /// The caller's estimate of the length of the answer, in tokens.
     pub estimated_answer_tokens: u64,
-    /// Worth on time, by its size.
+    /// Worth of an answer on time, which grows with the length of the prompt.
     pub worth: f64,
-    /// Worth when late.
+    /// Worth of a late answer.
     pub late_worth: f64,
-    /// Whether it ends the engine that begins to write its answer; all such are one request.
+    /// Whether it crashes the engine that begins to decode its answer. All such requests have the same
+    /// fingerprint.
     pub crashes_engine: bool,
 }
 
-/// Client accounts of a workload.
+/// Number of client accounts whose requests are scored.
 const ACCOUNT_COUNT: usize = 10;
 
-/// The account whose requests are not counted: one that floods, or sends what ends engines.
+/// Index of the client account whose requests are not scored: the one that floods the pool or sends
+/// requests that crash engines.
 pub const UNSCORED_ACCOUNT: usize = ACCOUNT_COUNT;
 
-/// Most times the worth of its kind that a request may have.
+/// Upper bound of the factor by which the length of a prompt raises the worth of its kind.
 const MAX_SIZE_FACTOR: f64 = 4.0;
 
-/// Phases of the day: begin and end of each, in seconds.
+/// Begin and end of each phase of the day, in seconds.
 const PHASES: [(f64, f64); 3] = [(1.9, 11.4), (12.0, 21.5), (23.0, 32.5)];
 
-/// Spread of the callers' estimates.
+/// Standard deviation of the logarithm of the callers' estimates over the true length.
 const ESTIMATE_SPREAD: f64 = 0.5;
 
-/// All requests of a day, in the order of their arrival.
+/// Generates all requests of a day, in order of arrival.
 pub fn generate_requests(workload: &Workload, seed: u64) -> Vec<WorkloadRequest> {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut requests = Vec::new();
@@ -116,7 +118,8 @@
         draw_crashing_request(workload, crashing, &mut rng, &mut requests);
     }
     requests.sort_by(|a, b| a.at_ms.total_cmp(&b.at_ms));
-    // Drawn apart, so that a seed gives the same requests whoever sends them.
+    // Accounts come from a generator of their own, so that the requests of a seed do not depend on
+    // who sends them.
     let mut rng = StdRng::seed_from_u64(!seed);
     for request in requests
         .iter_mut()
@@ -141,7 +144,7 @@
     let most = kind.phases.iter().copied().fold(1.0, f64::max) * burst;
     let prompts = log_normal(kind.prompt_tokens, kind.prompt_spread);
     let events = log_normal(kind.events, kind.events_spread);
-    let estimates = LogNormal::new(0.0, ESTIMATE_SPREAD).expect("a spread is finite");
+    let estimates = LogNormal::new(0.0, ESTIMATE_SPREAD).expect("the standard deviation is finite");
     let rate = kind.requests_per_s * workload.load * most;
     let mut at_s = 0.0;
     loop {
@@ -149,7 +152,7 @@
         if at_s >= workload.length_s {
             return;
         }
-        // Thinning turns the highest rate into that of the phase.
+        // Thinning reduces the highest rate to that of the phase.
         let times = if index == 0 { burst } else { 1.0 };
         if rng.random::<f64>() * most > phase_factor(kind, at_s) * times {
             continue;
@@ -172,7 +175,7 @@
     }
 }
 
-/// Quick questions of one account that count for nothing.
+/// Draws the unscored requests of the flooding client account.
 fn draw_flood(
     workload: &Workload,
     flood: Flood,
@@ -186,7 +189,7 @@
     draw_unscored(workload, span, flood.requests_per_s, rng, requests);
 }
 
-/// Quick questions in a part of the day that count for nothing.
+/// Draws unscored requests of the first kind within a time span.
 fn draw_unscored(
     workload: &Workload,
     span: Span,
@@ -212,7 +215,7 @@
     }
 }
 
-/// Attempts of a request that ends engines.
+/// Draws the attempts of the request that crashes engines.
 fn draw_crashing_request(
     workload: &Workload,
     crashing: CrashingRequest,
@@ -232,7 +235,7 @@
     }
 }
 
-/// A client account; each asks half as much again as the next.
+/// Draws a client account. Each sends half as many requests again as the next.
 fn draw_account(rng: &mut StdRng) -> usize {
     let last = ACCOUNT_COUNT - 1;
     (0..last)
@@ -240,12 +243,14 @@
         .unwrap_or(last)
 }
 
+/// Factor of the request rate of a kind at a time of the day; 1 between the phases.
 fn phase_factor(kind: &RequestKind, at_s: f64) -> f64 {
     let phase = PHASES.iter().position(|(b, e)| (*b..*e).contains(&at_s));
     phase.map_or(1.0, |p| kind.phases[p])
 }
 
+/// Log-normal distribution with a mean and a standard deviation of the logarithm.
 fn log_normal(mean: f64, spread: f64) -> LogNormal<f64> {
     let location = mean.ln() - spread * spread / 2.0;
-    LogNormal::new(location, spread).expect("a spread is finite")
+    LogNormal::new(location, spread).expect("the standard deviation is finite")
 }
--- a/crates/azuresaddle-standin/src/passes/workloads.rs
+++ b/crates/azuresaddle-standin/src/passes/workloads.rs
@@ -1,4 +1,4 @@
-//! The sheets of the users' deployments.
+//! Workloads of the users' deployments.
 
 use azuresaddle_core::deployment::EngineSpec;
 
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Briefings, summaries and archives on 14 engines that read slower and hold less.
+    /// Briefings, summaries and archives on 14 engines with slower prefill and less memory.
     pub fn surf(load: f64) -> Self {
         Self {
             name: "surf",
@@ -86,10 +86,10 @@
         }
     }
 
-    /// All sheets by name.
+    /// Names of all workloads.
     pub const NAMES: [&'static str; 4] = ["sabarmati", "aguaclara", "surf", "large"];
 
-    /// The workload of a name; `None` where there is none.
+    /// Returns the workload of a name, or `None` if there is none.
     pub fn named(name: &str, load: f64) -> Option<Self> {
         match name {
             "sabarmati" => Some(Self::sabarmati(load)),
