--- a/crates/azuresaddle-standin/src/cmd/experiment.rs
+++ b/crates/azuresaddle-standin/src/cmd/experiment.rs
@@ -1,4 +1,4 @@
-//! `experiment`: policies side by side.
+//! `experiment`: compares placement policies.
 
 use std::path::PathBuf;
 
--- a/crates/azuresaddle-standin/src/experiment/arrivals.rs
+++ b/crates/azuresaddle-standin/src/experiment/arrivals.rs
@@ -1,4 +1,4 @@
-//! Requests of a mix.
+//! Generates the requests of a mix.
 
 use std::time::Duration;
 
@@ -10,18 +10,18 @@
 use super::mix::Mix;
 use super::results::MAX_SHORT_TOKENS;
 
-/// Standard deviations of the normal distribution above which one in fifty lies.
+/// The 98th percentile of the standard normal distribution, above which one in fifty values lies.
 const ONE_IN_FIFTY_Z: f64 = 2.053_749;
 
-/// Lengths drawn to find the mean.
+/// Number of lengths sampled to estimate the mean.
 const MEAN_SAMPLES: usize = 400_000;
 
 /// A request of an experiment.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
-    /// When it arrives.
+    /// Time of arrival, from the start of the run.
     pub at: Duration,
-    /// Number of its client account.
+    /// Index of its client account in the mix.
     pub account: usize,
     /// Name of its client account.
     pub account_name: ClientAccount,
@@ -29,13 +29,13 @@
     pub prompt_tokens: u64,
     /// Length of the answer, in tokens.
     pub answer_tokens: u64,
-    /// Worth if completed in time.
+    /// Worth if it is completed by its deadline.
     pub worth: f64,
-    /// Weight of the account.
+    /// Scheduling weight of its client account.
     pub weight: f64,
 }
 
-/// All requests of a mix, in the order of their arrival.
+/// Generates all requests of a mix, in order of arrival.
 pub fn generate_requests(mix: &Mix, seed: u64) -> Vec<Request> {
     let mut rng = StdRng::seed_from_u64(seed);
     let lengths = Lengths::new(mix);
@@ -106,7 +106,7 @@
     }
 }
 
-/// Most tokens of an answer; memory is reserved for so many.
+/// Maximum length of an answer, in tokens. Memory is reserved for this length.
 pub(super) const MAX_ANSWER_TOKENS: u64 = 1_024;
 
 struct Lengths {
@@ -131,7 +131,7 @@
         tokens.clamp(self.shortest, self.longest)
     }
 
-    /// Mean length by sampling, always with the same seed.
+    /// Mean length, estimated by sampling with a fixed seed.
     fn mean(&self) -> f64 {
         let mut rng = StdRng::seed_from_u64(0);
         let sum: f64 = (0..MEAN_SAMPLES).map(|_| self.draw(&mut rng) as f64).sum();
--- a/crates/azuresaddle-standin/src/experiment/catalog.rs
+++ b/crates/azuresaddle-standin/src/experiment/catalog.rs
@@ -1,4 +1,4 @@
-//! The experiments.
+//! The experiments, their variants and their result rows.
 
 use std::str::FromStr;
 
@@ -18,7 +18,7 @@
     Hol,
     /// Time to first token at the mix's load.
     Ttft,
-    /// One flooding account beside others.
+    /// One client account floods the pool while others send at their usual rates.
     Fairness,
     /// Prompts that need several engines.
     Gang,
@@ -66,7 +66,7 @@
                     count: 20,
                     tokens: 200_000,
                 });
-                // Around the burst only, so that it weighs in the percentile.
+                // The run covers only the time around the burst, so that it affects the percentiles.
                 let duration_s = mix.duration_s.min(120.0);
                 let burst = burst.map(|b| Burst {
                     at_s: duration_s / 2.0,
@@ -96,7 +96,7 @@
                     ..mix.clone()
                 };
                 let mut flood = calm.clone();
-                // The tenth account alone offers as much again as the pool can do.
+                // The tenth account alone offers 0.87 of the pool's capacity, the others 0.63.
                 flood.accounts[9].share = 9.0 * (1.5 - 0.63) / 0.63;
                 flood.load = 1.5;
                 vec![("calm".to_owned(), calm), ("flood".to_owned(), flood)]
@@ -142,7 +142,7 @@
     }
 }
 
-/// Figures of one policy under one variant of the mix.
+/// Results of one policy with one variant of the mix.
 #[derive(Clone, Debug, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct ExperimentRow {
@@ -160,23 +160,23 @@
     pub first_token_ms: Vec<(&'static str, [f64; 3])>,
     /// p95 of the time to first token of longer prompts over that on an empty engine.
     pub long_slowdown_p95: f64,
-    /// Worth of completed requests a second.
+    /// Worth of completed requests per second.
     pub worth_per_second: f64,
     /// First token of short prompts of all accounts but the last at p95, in milliseconds.
     pub others_short_p95_ms: f64,
-    /// Whole answers.
+    /// Requests with a complete answer by the deadline.
     pub whole: u64,
     /// Refused before they ran.
     pub refused: u64,
-    /// Refused prompts over 400k tokens.
+    /// Refused requests with prompts of over 400,000 tokens.
     pub refused_huge: u64,
-    /// Admitted, but not whole by the deadline.
+    /// Admitted, but not complete by the deadline.
     pub missed: u64,
     /// Failed on every target tried.
     pub failed: u64,
-    /// Without an end.
+    /// Requests without an outcome at the end of the run.
     pub lost: u64,
-    /// With two whole answers.
+    /// Requests with two complete answers.
     pub doubled: u64,
     /// Memory held at the end, in tokens.
     pub memory_left: u64,
@@ -185,13 +185,13 @@
 }
 
 impl ExperimentRow {
-    /// All that was measured.
+    /// The detailed results of the run.
     pub fn results(&self) -> &Results {
         &self.results
     }
 }
 
-/// Runs an experiment for some policies and seeds; runs are spread over threads.
+/// Runs an experiment for each policy and seed. Runs are spread over threads.
 pub fn run_experiment(
     experiment: Experiment,
     mix: &Mix,
@@ -233,7 +233,9 @@
     let last = results.short_by_account.len() - 1;
     let mut others = results.short_by_account[0].clone();
     for histogram in &results.short_by_account[1..last.max(1)] {
-        others.add(histogram).expect("equal bounds");
+        others
+            .add(histogram)
+            .expect("the histograms have equal bounds");
     }
     ExperimentRow {
         variant: variant.to_owned(),
@@ -261,7 +263,7 @@
     }
 }
 
-/// One run on a runtime with a paused clock.
+/// Executes one run on a runtime with a paused clock.
 fn run_paused(mix: &Mix, policy: Policy, seed: u64) -> Results {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
--- a/crates/azuresaddle-standin/src/experiment/engine_model.rs
+++ b/crates/azuresaddle-standin/src/experiment/engine_model.rs
@@ -1,24 +1,24 @@
-//! Model of the engines: prefills one at a time, memory held to the end of the answer.
+//! Model of the engines: one prefill at a time, and memory held until the end of the answer.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use super::mix::EngineMix;
 
-/// Number of a job; a retried request has a new one.
+/// Index of a job. Each attempt of a request is a job of its own.
 pub(super) type JobId = usize;
 
-/// An order as the engines see it.
+/// One attempt of a request, as sent to its engines.
 #[derive(Clone, Debug)]
 pub(super) struct EngineJob {
     pub(super) engines: Vec<usize>,
-    /// Memory on each engine, in tokens.
+    /// Memory reserved on each engine, in tokens.
     pub(super) memory_tokens: u64,
     pub(super) prompt_tokens: u64,
     pub(super) answer_tokens: u64,
 }
 
-/// One engine.
+/// State of one engine.
 #[derive(Clone, Debug)]
 pub(super) struct EngineState {
     pub(super) used_tokens: u64,
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Queues an order on its engines; false where one is dead.
+    /// Queues a job on its engines. Returns `false` if one of them is dead.
     pub(super) fn accept(&mut self, id: JobId, job: &EngineJob) -> bool {
         if job.engines.iter().any(|e| self.states[*e].is_dead) {
             return false;
@@ -63,8 +63,8 @@
         true
     }
 
-    /// Starts the prefill at the head of an engine's queue if all its engines are ready for it;
-    /// returns the order and the time of its prefill.
+    /// Starts the prefill of the job at the head of an engine's queue if all engines of the job are
+    /// ready for it. Returns the job and the duration of its prefill.
     pub(super) fn start_next(
         &mut self,
         engine: usize,
@@ -93,7 +93,7 @@
         Some((id, self.prefill(job).mul_f64(slowdown)))
     }
 
-    /// Frees the prefill slots of a job; returns the time of the rest of its answer.
+    /// Frees the prefill slots of a job. Returns the time to decode the rest of its answer.
     pub(super) fn end_prefill(&mut self, id: JobId, job: &EngineJob) -> Duration {
         let mut slowdown: f64 = 1.0;
         for e in &job.engines {
@@ -107,7 +107,7 @@
         Duration::from_secs_f64(steps * self.mix.decode_step_ms / 1000.0 * slowdown)
     }
 
-    /// Forgets an order wherever it is and frees its memory.
+    /// Removes a job from its engines and frees its memory.
     pub(super) fn remove(&mut self, id: JobId, job: &EngineJob) {
         for e in &job.engines {
             let state = &mut self.states[*e];
@@ -122,13 +122,13 @@
         }
     }
 
-    /// Prefill on engines at full speed.
+    /// Duration of a job's prefill on engines that are not slowed down.
     fn prefill(&self, job: &EngineJob) -> Duration {
         let rate = self.mix.prefill_rate * job.engines.len() as f64;
         Duration::from_secs_f64(job.prompt_tokens as f64 / rate)
     }
 
-    /// Engines whose memory a prompt needs together.
+    /// Number of engines whose combined memory a request needs, for `memory` in tokens.
     pub(super) fn required_engines(mix: &EngineMix, memory: u64) -> usize {
         memory.div_ceil(mix.memory_tokens).max(1) as usize
     }
--- a/crates/azuresaddle-standin/src/experiment/immediate.rs
+++ b/crates/azuresaddle-standin/src/experiment/immediate.rs
@@ -1,4 +1,4 @@
-//! Baselines that place a request when it arrives.
+//! Baselines that place each request on arrival.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -14,20 +14,21 @@
 use super::mix::EngineMix;
 use super::policy::Policy;
 
-/// Age of the load that power of two choices sees.
+/// Age of the load data that the power-of-two-choices policy works with.
 const LOAD_LAG: Duration = Duration::from_millis(500);
 
-/// Places each request at once by a simple rule.
+/// Places each request on arrival by a simple rule.
 pub(super) struct Immediate {
     policy: Policy,
     mix: EngineMix,
     rng: StdRng,
     next_engine: usize,
-    /// Orders and tokens on each engine that have not had their first token, and orders at all.
+    /// Prompt tokens on each engine whose first token is outstanding.
     backlog: Vec<f64>,
+    /// Number of requests on each engine.
     outstanding: Vec<usize>,
     placed: std::collections::HashMap<StreamId, (Vec<usize>, f64, bool)>,
-    /// Changes of the backlog that the lagged view has not seen.
+    /// Changes of the backlog that are not yet part of the lagged backlog.
     pending_changes: VecDeque<(Instant, usize, f64)>,
     lagged_backlog: Vec<f64>,
     actions: Vec<Action>,
--- a/crates/azuresaddle-standin/src/experiment/mix.rs
+++ b/crates/azuresaddle-standin/src/experiment/mix.rs
@@ -1,42 +1,43 @@
-//! The mix of engines, accounts, lengths and faults; a JSON file replaces the default.
+//! The mix of engines, client accounts, prompt lengths and faults. A JSON file can replace the
+//! default.
 
 use serde::{Deserialize, Serialize};
 
-/// Everything that an experiment runs on.
+/// Input of an experiment.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields, default)]
 pub struct Mix {
     /// The engines of the pool.
     pub engines: EngineMix,
-    /// Who sends.
+    /// Client accounts that send requests.
     pub accounts: Vec<AccountMix>,
-    /// Lengths of prompts.
+    /// Distribution of the prompt lengths.
     pub lengths: LengthMix,
-    /// Offered prefill work, as a part of what the engines can do.
+    /// Offered prefill work, as a fraction of the engines' capacity.
     pub load: f64,
-    /// Mean answer, in tokens; the lengths are geometric.
+    /// Mean length of the answers, in tokens. The lengths are geometrically distributed.
     pub mean_answer_tokens: f64,
-    /// How long requests arrive, in seconds.
+    /// Time span in which requests arrive, in seconds.
     pub duration_s: f64,
-    /// Time until each deadline, in seconds.
+    /// Time from the arrival of a request to its deadline, in seconds.
     pub deadline_s: f64,
     /// Delay of a message between owner, node and engine, one way, in milliseconds.
     pub message_delay_ms: f64,
     /// Extra prompts that arrive at once.
     pub burst: Option<Burst>,
-    /// What fails, and when.
+    /// Engine faults.
     pub faults: Vec<Fault>,
 }
 
-/// Equal engines.
+/// The engines, which are all alike.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields, default)]
 pub struct EngineMix {
     /// Number of engines.
     pub count: usize,
-    /// Prefill rate, in tokens a second.
+    /// Prefill rate, in tokens per second.
     pub prefill_rate: f64,
-    /// Memory, in tokens.
+    /// Memory of each engine, in tokens.
     pub memory_tokens: u64,
     /// Time of one decode step, in milliseconds.
     pub decode_step_ms: f64,
@@ -48,31 +49,31 @@
 pub struct AccountMix {
     /// Name.
     pub name: String,
-    /// Part of the requests, relative to the other accounts'.
+    /// Share of the requests, relative to those of the other accounts.
     pub share: f64,
-    /// Weight in contention.
+    /// Scheduling weight under contention.
     pub weight: f64,
-    /// Worth of a completed request of up to 8192 tokens.
+    /// Worth of a completed request with a prompt of up to 8192 tokens.
     pub short_worth: f64,
-    /// Worth of a longer one.
+    /// Worth of a completed request with a longer prompt.
     pub long_worth: f64,
-    /// Longest prompt the account sends, in tokens.
+    /// Longest prompt that the account sends, in tokens.
     pub longest: u64,
 }
 
-/// Log-normal lengths.
+/// Log-normal distribution of the prompt lengths.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields, default)]
 pub struct LengthMix {
     /// Median, in tokens.
     pub median: f64,
-    /// Length that one in fifty prompts is above, in tokens.
+    /// Length that one in fifty prompts exceeds, in tokens.
     pub one_in_fifty: f64,
     /// Shortest prompt, in tokens.
     pub shortest: u64,
     /// Longest prompt, in tokens.
     pub longest: u64,
-    /// Prompts longer than this are left out; to measure short ones alone.
+    /// Prompts longer than this are left out, to measure short ones alone.
     pub keep_up_to: Option<u64>,
 }
 
@@ -80,33 +81,33 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Burst {
-    /// When, in seconds.
+    /// Time from the start of the run, in seconds.
     pub at_s: f64,
-    /// How many.
+    /// Number of prompts.
     pub count: usize,
-    /// Length of each, in tokens.
+    /// Length of each prompt, in tokens.
     pub tokens: u64,
 }
 
-/// Something that fails.
+/// A fault of an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Fault {
-    /// When, in seconds.
+    /// Time from the start of the run, in seconds.
     pub at_s: f64,
-    /// Number of the engine, from 0.
+    /// Index of the engine, from 0.
     pub engine: usize,
-    /// What happens.
+    /// Kind of the fault.
     pub kind: FaultKind,
 }
 
-/// What happens to an engine.
+/// Kind of an engine fault.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
     /// It stops answering for good and loses its streams.
     Die,
-    /// Its prefills and steps take this many times as long.
+    /// Its prefills and decode steps take this many times as long.
     Slow(f64),
 }
 
@@ -174,7 +175,7 @@
 }
 
 impl Mix {
-    /// The first thing that makes the mix unusable, if any.
+    /// Returns a description of the first invalid setting, or `None` if the mix is valid.
     pub fn problem(&self) -> Option<&'static str> {
         let positive = |value: f64| value.is_finite() && value > 0.0;
         let checks = [
--- a/crates/azuresaddle-standin/src/experiment/mod.rs
+++ b/crates/azuresaddle-standin/src/experiment/mod.rs
@@ -1,7 +1,8 @@
-//! Policies side by side, in virtual time on the runtime's paused clock.
+//! Compares policies in virtual time, on the runtime's paused clock.
 //!
-//! The product's [`azuresaddle_sched::Pool`] runs unchanged against a model of the engines, beside
-//! baselines and beside itself with single ideas switched off. The same seed gives the same output.
+//! The product's [`azuresaddle_sched::Pool`] runs unchanged against a model of the engines. It is
+//! compared with baselines and with itself, with single mechanisms switched off. The same seed gives
+//! the same output.
 
 mod arrivals;
 mod catalog;
--- a/crates/azuresaddle-standin/src/experiment/plot.rs
+++ b/crates/azuresaddle-standin/src/experiment/plot.rs
@@ -8,13 +8,14 @@
 /// Size of a plot, in pixels.
 const SIZE: (u32, u32) = (900, 560);
 
-/// Points of each curve.
+/// Number of points of each curve.
 const POINTS: usize = 200;
 
-/// Draws the first-token times of short prompts by policy as an SVG text.
+/// Draws the distribution of the first-token times of short prompts as an SVG document, one curve
+/// per row.
 ///
 /// # Errors
-/// Where the drawing fails.
+/// Fails if the plot cannot be drawn.
 pub fn plot_first_tokens(rows: &[ExperimentRow]) -> Result<String> {
     let mut svg = String::new();
     draw(rows, &mut svg).map_err(|e| anyhow!("plot: {e}"))?;
--- a/crates/azuresaddle-standin/src/experiment/policy.rs
+++ b/crates/azuresaddle-standin/src/experiment/policy.rs
@@ -1,4 +1,4 @@
-//! Policies by name.
+//! The policies and their names.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,39 +6,40 @@
 
 use azuresaddle_sched::PoolOptions;
 
-/// A policy of placement.
+/// A placement policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Policy {
-    /// A random engine at arrival.
+    /// A random engine, on arrival.
     Random,
     /// The engines in turn.
     RoundRobin,
-    /// The engine with the fewest orders, known exactly.
+    /// The engine with the fewest requests, by exact counts.
     LeastOutstanding,
-    /// The engine with the least backlog of tokens, known exactly.
+    /// The engine with the smallest backlog of prompt tokens, by exact counts.
     LeastBacklog,
     /// The better of two random engines by a backlog that is half a second old.
     PowerOfTwo,
-    /// One queue at the owner, in order of arrival; an engine gets its next when it is free.
+    /// One queue at the pool's owner, in order of arrival. An engine gets the next request when it is
+    /// free.
     Fifo,
-    /// `Fifo`, and requests may pass one that does not fit yet, for which engines are drained.
+    /// `Fifo`, and requests may overtake one that does not fit yet, for which engines are drained.
     Backfill,
-    /// `Backfill`, with classes by length and a bound on engines that run long prefills.
+    /// `Backfill`, with classes by prompt length and a bound on the engines that run long prefills.
     Classes,
     /// `Classes`, ordered by slack.
     Slack,
-    /// `Slack`, and accounts share by weight.
+    /// `Slack`, with fair sharing among client accounts by weight.
     Fair,
-    /// `Fair`, and what can't meet its deadline is refused at once.
+    /// `Fair`, and requests that cannot meet their deadline are refused at once.
     Deadlines,
     /// `Deadlines`, and much slower engines are avoided.
     AvoidSlow,
-    /// All ideas: the next short prefill is sent before the running one ends.
+    /// All mechanisms: `AvoidSlow`, and the next short prefill is sent before the running one ends.
     Full,
 }
 
 impl Policy {
-    /// All policies, baselines first, then one idea more each.
+    /// All policies: the baselines, then the pool with one more mechanism each.
     pub const ALL: [Self; 13] = [
         Self::Random,
         Self::RoundRobin,
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Options of the pool, for the policies that have one.
+    /// Options of the pool, or `None` for baselines, which have no pool.
     pub fn pool_options(self) -> Option<PoolOptions> {
         if self < Self::Fifo {
             return None;
--- a/crates/azuresaddle-standin/src/experiment/results.rs
+++ b/crates/azuresaddle-standin/src/experiment/results.rs
@@ -1,4 +1,4 @@
-//! What an experiment measured.
+//! Results of an experiment run.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use super::engine_model::Engines;
 use super::mix::{EngineMix, Mix};
 
-/// Longest short prompt, in tokens.
+/// Maximum length of a short prompt, in tokens.
 pub const MAX_SHORT_TOKENS: u64 = 8_192;
 
 /// Upper bounds of the length classes, in tokens, with their names.
@@ -19,10 +19,10 @@
     (u64::MAX, "over-400k"),
 ];
 
-/// Longest time that is told apart, in microseconds.
+/// Longest time that the histograms record, in microseconds; longer times count as this one.
 const MAX_RECORDED_US: u64 = 7_200_000_000;
 
-/// Most of a slowdown that is told apart, in thousandths.
+/// Highest slowdown that the histograms record, in thousandths; higher ones count as this one.
 const MAX_RECORDED_SLOWDOWN: u64 = 1_000_000_000;
 
 /// Results of one length class.
@@ -30,13 +30,13 @@
 pub struct ClassResults {
     /// Name of the class.
     pub name: &'static str,
-    /// Requests with a first token.
+    /// Times to first token, in microseconds.
     pub first_token_us: Histogram<u64>,
     /// Time to first token over that on an empty engine, in thousandths.
     pub slowdown: Histogram<u64>,
-    /// Requests refused.
+    /// Number of refused requests.
     pub refused: u64,
-    /// Deadlines missed.
+    /// Number of missed deadlines.
     pub missed: u64,
 }
 
@@ -45,13 +45,13 @@
 pub struct Results {
     engines: EngineMix,
     duration_s: f64,
-    /// By length.
+    /// Results by length class of the prompt.
     pub classes: Vec<ClassResults>,
     /// First-token times of short prompts by account, in microseconds.
     pub short_by_account: Vec<Histogram<u64>>,
-    /// Worth of the requests that were whole in time.
+    /// Worth of the requests completed by their deadlines.
     pub worth: f64,
-    /// Whole answers.
+    /// Requests with a complete answer by the deadline.
     pub whole: u64,
     /// Requests refused before they ran.
     pub refused: u64,
@@ -59,9 +59,9 @@
     pub failed: u64,
     /// Deadlines missed by admitted requests.
     pub missed: u64,
-    /// Requests without an end.
+    /// Requests without an outcome at the end of the run.
     pub lost: u64,
-    /// Requests with two whole answers.
+    /// Requests with two complete answers.
     pub doubled: u64,
     /// Memory still held at the end, in tokens.
     pub memory_left: u64,
@@ -127,7 +127,7 @@
         self.classes[0].first_token_us.value_at_quantile(0.95) as f64 / 1000.0
     }
 
-    /// Worth of completed requests a second.
+    /// Worth of completed requests per second.
     pub fn worth_per_second(&self) -> f64 {
         self.worth / self.duration_s
     }
@@ -136,12 +136,13 @@
     pub fn long_slowdown_p95(&self) -> f64 {
         let mut all = self.classes[1].slowdown.clone();
         for class in &self.classes[2..] {
-            all.add(&class.slowdown).expect("equal bounds");
+            all.add(&class.slowdown)
+                .expect("the histograms have equal bounds");
         }
         all.value_at_quantile(0.95) as f64 / 1000.0
     }
 
-    /// Time to first token of a request alone on empty engines.
+    /// Time to first token of a request on otherwise empty engines.
     fn unloaded_first_token(&self, request: &Request) -> Duration {
         let memory = request.prompt_tokens + super::arrivals::MAX_ANSWER_TOKENS;
         let members = Engines::required_engines(&self.engines, memory) as f64;
--- a/crates/azuresaddle-standin/src/experiment/scheduler.rs
+++ b/crates/azuresaddle-standin/src/experiment/scheduler.rs
@@ -1,4 +1,4 @@
-//! One interface over the baselines and the product's pool.
+//! Common interface of the baselines and the product's pool.
 
 use azuresaddle_core::prelude::*;
 use azuresaddle_sched::{Action, Outcome, Pool, PoolOptions, ReservationRequest, TargetSpec};
@@ -8,7 +8,7 @@
 use super::mix::EngineMix;
 use super::policy::Policy;
 
-/// What decides in an experiment.
+/// Makes the placement decisions of an experiment.
 pub(super) enum Scheduler {
     Pool(Box<Pool>),
     Immediate(Box<Immediate>),
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Notes that an attempt failed on an engine that does not confirm its end.
+    /// Records that an attempt failed on an engine that did not confirm its end.
     pub(super) fn on_unconfirmed_failure(&mut self, now: Instant, stream: StreamId) {
         match self {
             Self::Pool(pool) => pool.on_unconfirmed_failure(now, stream),
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Memory that the ledger holds, in tokens; none for baselines.
+    /// Memory that the pool has reserved on its targets, in tokens; 0 for baselines.
     pub(super) fn reserved(&self) -> u64 {
         match self {
             Self::Pool(pool) => {
@@ -104,7 +104,7 @@
     }
 }
 
-/// Name of an engine by its number.
+/// Name of an engine, by its index.
 pub(super) fn engine_name(number: usize) -> HostName {
     HostName::new(format!("e{number}"))
 }
--- a/crates/azuresaddle-standin/src/experiment/simulation.rs
+++ b/crates/azuresaddle-standin/src/experiment/simulation.rs
@@ -1,4 +1,4 @@
-//! Runs requests through a policy against the engines, in virtual time.
+//! Event-driven simulation of a policy against the modelled engines, in virtual time.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
@@ -15,28 +15,28 @@
 use super::results::Results;
 use super::scheduler::{Scheduler, engine_name};
 
-/// Silence after which a node gives a target up.
+/// Time without a response after which a node gives up on a target.
 const TARGET_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// First-token target of every request.
 const FIRST_TOKEN_TARGET: Duration = Duration::from_millis(350);
 
-/// Most targets tried for one request.
+/// Maximum number of attempts for one request.
 const MAX_ATTEMPTS: u8 = 4;
 
-/// Something that happens at a time.
+/// A scheduled event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Arrive(usize),
-    /// An order reaches its engines.
+    /// A job arrives at its engines.
     JobArrival(JobId),
     PrefillEnds(JobId),
     AnswerEnds(JobId),
-    /// The owner hears of a first token.
+    /// The owner learns of a first token.
     FirstTokenReported(JobId),
-    /// The owner hears of an end.
+    /// The owner learns of the end of an answer.
     EndReported(JobId),
-    /// A node gives up on an order whose engine is silent.
+    /// A node gives up on a job whose engine does not respond.
     AttemptFailed(JobId),
     Deadline(usize),
     Fault(usize),
@@ -49,7 +49,7 @@
     scheduler: Scheduler,
     engines: Engines,
     jobs: Vec<EngineJob>,
-    /// Request and attempt of each job.
+    /// Stream of each job: its request and attempt.
     streams: Vec<StreamId>,
     live: HashMap<StreamId, JobId>,
     state: Vec<RequestState>,
@@ -69,7 +69,7 @@
     ran: u32,
 }
 
-/// Runs all requests to their ends.
+/// Runs all requests to completion.
 pub async fn simulate(mix: &Mix, requests: &[Request], policy: Policy, seed: u64) -> Results {
     let start = Instant::now();
     let mut simulation = Simulation {
@@ -129,14 +129,14 @@
             Event::AttemptFailed(id) => self.on_attempt_failed(now, id),
             Event::Deadline(i) => self.on_deadline(now, i),
             Event::Fault(i) => self.on_fault(now, i),
-            // One that was planned anew for an earlier time is stale.
+            // A wakeup that has been replaced by an earlier one is stale.
             Event::Wakeup if self.wakeup != Some(now) => return,
             Event::Wakeup => self.wakeup = None,
         }
         self.apply_actions(now);
     }
 
-    /// Asks for a reservation for a request's present attempt.
+    /// Requests a reservation for the current attempt of a request.
     fn request_reservation(&mut self, now: Instant, i: usize) {
         let request = &self.requests[i];
         let state = &self.state[i];
@@ -161,7 +161,7 @@
         self.scheduler.enqueue(now, request);
     }
 
-    /// Carries out what the policy decided, and plans its next wakeup.
+    /// Applies the policy's decisions and schedules its next wakeup.
     fn apply_actions(&mut self, now: Instant) {
         for action in self.scheduler.dispatch(now) {
             match action {
@@ -177,7 +177,7 @@
                     });
                     self.streams.push(grant.stream);
                     self.live.insert(grant.stream, id);
-                    // To the node, and from there to the engine.
+                    // One message to the node, and one from there to the engine.
                     self.push(now + self.delay() * 2, Event::JobArrival(id));
                 }
                 Action::Refused { stream, .. } => {
@@ -253,7 +253,7 @@
         self.start_prefills(now, &engines);
     }
 
-    /// Whether an order's stream exists on living engines.
+    /// Whether the stream of a job is present on all of its engines.
     fn is_running(&self, id: JobId) -> bool {
         let is_live = self.live.get(&self.streams[id]) == Some(&id);
         let job = &self.jobs[id];
@@ -264,7 +264,7 @@
                 .all(|e| self.engines.states[*e].streams.contains(&id))
     }
 
-    /// A node tries another target after a failure.
+    /// Retries a request on other targets after a failed attempt.
     fn on_attempt_failed(&mut self, now: Instant, id: JobId) {
         let stream = self.streams[id];
         let i = stream.request.0 as usize;
@@ -281,7 +281,8 @@
         let names: Vec<_> = dead.iter().map(|e| engine_name(**e)).collect();
         self.engines.remove(id, &job);
         self.scheduler.on_unconfirmed_failure(now, stream);
-        // The platform replaces a dead host's list entry in time; the ledger lets go with it.
+        // The platform replaces the host list entry of a dead host in time, and the pool then
+        // releases its reservations.
         self.scheduler.end(now, stream, Outcome::TargetFailed);
         let state = &mut self.state[i];
         state.exclude.extend(names);
@@ -344,5 +345,5 @@
 fn engine_number(name: &HostName) -> usize {
     name.as_str()[1..]
         .parse()
-        .expect("names are e and a number")
+        .expect("an engine name is `e` and its index")
 }
