--- a/crates/azuresaddle-standin/src/capacity/idle.rs
+++ b/crates/azuresaddle-standin/src/capacity/idle.rs
@@ -1,4 +1,4 @@
-//! What an idle system costs a node each second.
+//! Cost of an idle system per node and second.
 
 use std::time::{Duration, Instant as WallInstant};
 
@@ -7,36 +7,36 @@
 use crate::cluster::{Cluster, ClusterSpec, MemoryHosts};
 use crate::engine::EngineOptions;
 
-/// Virtual time that is measured, in seconds.
+/// Virtual time of the measurement, in seconds.
 const MEASUREMENT_S: u64 = 60;
 
-/// Virtual time before, in which owners are found.
+/// Virtual time before the measurement, in which the pools get their owners.
 const WARM_UP: Duration = Duration::from_secs(15);
 
-/// Cost of control for each node and second, without requests.
+/// Cost of the control plane per node and second, without requests.
 #[derive(Clone, Copy, Debug)]
 pub struct IdleCost {
     /// Number of nodes.
     pub nodes: usize,
     /// Number of engines.
     pub engines: usize,
-    /// Bytes on all wires: between nodes, and to and from store, host list and engines.
+    /// Bytes sent over the network: between nodes, and to and from store, host list and engines.
     pub bytes: f64,
-    /// Watches of the store.
+    /// Watch calls to the store.
     pub watches: f64,
-    /// Grants and renewals of leases.
+    /// Lease grants and renewals.
     pub lease_writes: f64,
-    /// Reads of the store.
+    /// Read calls to the store.
     pub reads: f64,
-    /// Processor time in microseconds; the stand-ins' own is in it.
+    /// Processor time in microseconds, including that of the stand-ins.
     pub cpu_us: f64,
 }
 
-/// Measures idle systems in virtual time: the processor works only when something happens, so the
-/// time that passed outside is the processor's.
+/// Measures an idle system in virtual time. As virtual time passes only while there is nothing to
+/// do, the elapsed wall-clock time is the processor time.
 ///
 /// # Errors
-/// Where a system can't be started.
+/// Fails if the system cannot be started.
 pub fn measure_idle(nodes: usize, engines: usize) -> Result<IdleCost> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
--- a/crates/azuresaddle-standin/src/capacity/memory.rs
+++ b/crates/azuresaddle-standin/src/capacity/memory.rs
@@ -1,4 +1,4 @@
-//! Memory of a pool's state.
+//! Memory use of a pool's state.
 
 use std::time::Duration;
 
@@ -10,21 +10,21 @@
 /// Size of a page of memory, in bytes.
 const PAGE_BYTES: u64 = 4096;
 
-/// Memory of one kind of state.
+/// Memory use of one kind of state.
 #[derive(Clone, Copy, Debug)]
 pub struct MemoryCost {
-    /// What is held.
+    /// Kind of the state.
     pub name: &'static str,
-    /// How many.
+    /// Number of items.
     pub count: usize,
-    /// Resident bytes for each.
+    /// Resident bytes per item.
     pub bytes_each: f64,
 }
 
-/// Measures resident memory of waiting requests and of reservations at three counts each.
+/// Measures the resident memory of waiting requests and of reservations, at three counts each.
 ///
 /// # Errors
-/// Where the system does not tell the process its memory.
+/// Fails if the resident memory of the process cannot be read.
 pub fn measure_memory() -> Result<Vec<MemoryCost>> {
     let mut costs = Vec::new();
     for count in [10_000, 20_000, 40_000] {
@@ -41,7 +41,7 @@
     let before = resident_bytes()?;
     let pool = make();
     let after = resident_bytes()?;
-    // What is measured is kept so that the next one does not reuse its memory.
+    // The pool is leaked so that the next measurement does not reuse its memory.
     std::mem::forget(pool);
     Ok(MemoryCost {
         name,
--- a/crates/azuresaddle-standin/src/capacity/messages.rs
+++ b/crates/azuresaddle-standin/src/capacity/messages.rs
@@ -16,13 +16,13 @@
 /// Size of one message or value at one count of its parts.
 #[derive(Clone, Debug)]
 pub struct MessageSize {
-    /// What it is.
+    /// Name of the message or value.
     pub name: &'static str,
-    /// What is counted.
+    /// Kind of the parts that are counted.
     pub part: &'static str,
-    /// How many parts.
+    /// Number of parts.
     pub count: usize,
-    /// Bytes.
+    /// Encoded size, in bytes.
     pub bytes: usize,
 }
 
--- a/crates/azuresaddle-standin/src/capacity/mod.rs
+++ b/crates/azuresaddle-standin/src/capacity/mod.rs
@@ -1,4 +1,4 @@
-//! Slopes of control's cost against nodes, targets, reservations and rules.
+//! Measures how the cost of the control plane grows with nodes, targets, reservations and rules.
 
 mod idle;
 mod memory;
--- a/crates/azuresaddle-standin/src/cmd/capacity.rs
+++ b/crates/azuresaddle-standin/src/cmd/capacity.rs
@@ -1,4 +1,4 @@
-//! `capacity`: slopes of control's cost.
+//! `capacity`: measures how the cost of the control plane grows with the system.
 
 use anyhow::Result;
 use azuresaddle_standin::capacity::{measure_idle, measure_memory, measure_messages};
@@ -6,7 +6,7 @@
 
 use super::args::say;
 
-/// Sizes of the systems that are measured, as nodes and engines.
+/// Sizes of the measured systems, as numbers of nodes and engines.
 const SIZES: [(usize, usize); 7] = [(3, 2), (6, 2), (12, 2), (24, 2), (3, 8), (3, 16), (3, 32)];
 
 pub(crate) fn make_subcommand() -> Command {
@@ -14,7 +14,7 @@
 }
 
 pub(crate) fn execute() -> Result<()> {
-    // First, while no memory of other measurements can be reused.
+    // Memory comes first, as it must not reuse memory that other measurements have freed.
     say("resident memory of a pool's state, in bytes each");
     for cost in measure_memory()? {
         say(&format!(
