--- a/crates/azuresaddle-standin/tests/suite/experiment.rs
+++ b/crates/azuresaddle-standin/tests/suite/experiment.rs
@@ -1,4 +1,4 @@
-//! The experiment tool: repeatable, and the bounds that the decisions must keep.
+//! The experiments: reproducible results, and bounds on the policies' results.
 
 use azuresaddle_standin::experiment::{Experiment, ExperimentRow, Mix, Policy, run_experiment};
 
--- a/crates/azuresaddle-standin/tests/suite/main.rs
+++ b/crates/azuresaddle-standin/tests/suite/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the stand-ins' tools.
+//! Tests of the experiment tools.
 
 mod experiment;
 mod passes;
--- a/crates/azuresaddle-standin/tests/suite/passes.rs
+++ b/crates/azuresaddle-standin/tests/suite/passes.rs
@@ -1,8 +1,9 @@
-//! Loads replayed in virtual time: what each idea of the pool brings.
+//! Simulated days of the users' workloads: what each mechanism of the pool contributes.
 
 use azuresaddle_standin::passes::{EngineModel, PassPolicy, PoolLayout, Workload, simulate_day};
 
-/// Mean worth of a few days; of one with so many requests that its figure is steady.
+/// Mean worth over a few days. One day is enough for workloads with many requests, as their worth
+/// varies little.
 fn worth(workload: &Workload, policy: PassPolicy) -> f64 {
     let seeds = if workload.engines > 100 { 1 } else { 4 };
     let days = (1..=seeds).map(|seed| simulate_day(workload, policy, seed).worth);
@@ -62,7 +63,7 @@
     assert!(pool > holding + 0.01, "{pool} against {holding}");
 }
 
-/// More quick questions than the engines have slots for, on engines and lengths of each workload.
+/// More short prompts arrive than the engines have slots for, in each workload.
 #[tokio::test(start_paused = true)]
 async fn a_crowd_of_short_prompts_is_refused_at_once_rather_than_held() {
     for name in Workload::NAMES {
@@ -85,7 +86,8 @@
     }
 }
 
-/// Other shapes than any workload: fewer or more engines, other lengths, other pauses.
+/// Guards against mechanisms that only suit the users' workloads: varies the number of engines, the
+/// prompt lengths and the pauses.
 #[tokio::test(start_paused = true)]
 async fn mechanisms_also_help_on_other_workload_shapes() {
     for (engines, length, pause) in [(9, 0.6, 2.0), (28, 1.5, 1.0), (40, 0.8, 0.8)] {
@@ -95,7 +97,7 @@
         for kind in &mut workload.kinds {
             kind.prompt_tokens *= length;
             kind.max_prompt_tokens *= length;
-            // Long prompts cost by the square of their length.
+            // The cost of a long prompt grows with the square of its length.
             kind.requests_per_s *= times / (length * length);
             kind.pause_ms *= pause;
         }
@@ -115,7 +117,7 @@
     }
 }
 
-/// The large workload with a trouble, and who places.
+/// The large workload with a pool layout and an optional fault.
 fn large(pool_layout: PoolLayout, trouble: Option<&str>) -> Workload {
     let mut workload = Workload::large(0.82);
     workload.pool_layout = pool_layout;
@@ -125,7 +127,7 @@
     workload
 }
 
-/// A long prompt wants many engines at once, which a small pool seldom has free.
+/// A long prompt needs many engines at once, and a small pool seldom has that many free.
 #[tokio::test(start_paused = true)]
 async fn one_pool_beats_several_while_its_owner_responds() {
     let one = worth(&large(PoolLayout::Single, None), PassPolicy::Pool);
@@ -135,7 +137,7 @@
     }
 }
 
-/// What the choice of one owner rests on: that its silence is short.
+/// A single owner per pool is only acceptable as long as its stalls are short.
 #[tokio::test(start_paused = true)]
 async fn short_owner_stalls_cost_little() {
     let calm = worth(&large(PoolLayout::Single, None), PassPolicy::Pool);
@@ -177,7 +179,7 @@
     let mut engine = EngineModel::new(spec.clone(), 1.0);
     engine.add_decode(1, 5000, 92);
     engine.add_prefill(2, 51_200, 2, true);
-    // 46 steps of 0.925 ms, and half of 51,200 tokens: 100 ms and the pairs.
+    // 46 steps of at least 0.925 ms, and half of a prompt of 51,200 tokens: 100 ms and the attention.
     let pairs_ms = 51.2 * 51.2 / 2.0 * spec.attention_ms_per_1m_pairs / 2.0;
     let expected = 46.0 * (0.925 + 0.00483 + 0.00254 * 5.0) + 100.0 + pairs_ms;
     let took = engine.begin_pass().unwrap();
@@ -189,8 +191,9 @@
     assert!(engine.begin_pass().is_none());
 }
 
-/// A request that ends each engine it runs on comes three times a second for twelve seconds. Sent on and on it takes
-/// most of the day along, since the streams of other callers end with each engine.
+/// A request that crashes each engine it runs on is sent three times a second for twelve seconds.
+/// Without quarantine it costs most of the day's worth, since the streams of other callers fail with
+/// each engine.
 #[tokio::test(start_paused = true)]
 async fn a_request_that_crashes_engines_costs_the_others_little() {
     let mut workload = Workload::sabarmati(0.6);
@@ -202,7 +205,8 @@
     assert!(pool > without + 0.4, "{pool} against {without}");
 }
 
-/// The engines on which short streams are packed limit their rate, alone and while the placing node changes or stalls.
+/// The engines on which short streams are packed limit their request rate, alone and during owner
+/// changes, owner stalls and a split brain.
 #[tokio::test(start_paused = true)]
 async fn rate_limits_hold_and_cost_little_while_other_engines_have_room() {
     for name in Workload::NAMES {
