--- a/crates/azuresaddle-node/src/control/actor.rs
+++ b/crates/azuresaddle-node/src/control/actor.rs
@@ -22,10 +22,10 @@
 use crate::metrics::Metrics;
 use crate::peer::PeerClients;
 use crate::settings::Settings;
-use crate::snapshot::{Admission, HostIndex, SeenDigest, SharedSnapshot, Snapshot};
+use crate::snapshot::{Admission, HostIndex, ReceivedDigest, SharedSnapshot, Snapshot};
 
 /// Interval of housekeeping.
-const TICK: Duration = Duration::from_millis(250);
+const TICK_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Silence of the store after which it counts as unreachable; a watch returns every two seconds.
 const STORE_TIMEOUT: Duration = Duration::from_secs(4);
@@ -63,15 +63,15 @@
     pub(super) rules_known: bool,
     pub(super) hosts: Arc<HostIndex>,
     pub(super) owners: HashMap<PoolId, OwnerRecord>,
-    pub(super) digests: HashMap<PoolId, (SeenDigest, Epoch)>,
+    pub(super) digests: HashMap<PoolId, (ReceivedDigest, Epoch)>,
     pub(super) owned: HashMap<PoolId, OwnedPool>,
     pub(super) acquiring: HashSet<PoolId>,
     pub(super) lease: Option<HeldLease>,
     pub(super) peers: HashMap<HostName, PeerState>,
     pub(super) fallback: FallbackPlacer,
-    pub(super) store_heard: Option<Instant>,
+    pub(super) store_last_seen: Option<Instant>,
     pub(super) started: Instant,
-    pub(super) told_to_stop: bool,
+    pub(super) stop_requested: bool,
     pub(super) stopping_since: Option<Instant>,
     pub(super) last_poll: Option<Instant>,
     pub(super) last_heartbeat: Option<Instant>,
@@ -95,9 +95,9 @@
             lease: None,
             peers: HashMap::new(),
             fallback: FallbackPlacer::default(),
-            store_heard: None,
+            store_last_seen: None,
             started: Instant::now(),
-            told_to_stop: false,
+            stop_requested: false,
             stopping_since: None,
             last_poll: None,
             last_heartbeat: None,
@@ -110,8 +110,8 @@
     pub async fn run(mut self, mut rx: mpsc::Receiver<Command>) {
         self.spawn_host_list_reader();
         self.spawn_store_watch();
-        self.spawn_lease_keeper();
-        let mut tick = tokio::time::interval(TICK);
+        self.spawn_lease_renewal();
+        let mut tick = tokio::time::interval(TICK_INTERVAL);
         tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             let wakeup = self.next_wakeup();
@@ -128,7 +128,7 @@
 
     fn handle(&mut self, command: Command) {
         let now = Instant::now();
-        let is_news = command.is_news_for_traffic();
+        let publish_now = command.needs_immediate_publish();
         match command {
             Command::Reserve(req, reply) => self.on_reserve(now, *req, reply),
             Command::Fallback(req, reply) => self.on_fallback(*req, reply),
@@ -145,20 +145,24 @@
                 self.apply_rules(now, *record);
             }
             Command::LeaseHeld(lease, sent) => self.on_lease_held(lease, sent),
-            Command::LeaseLapsed(lease) => self.on_lease_lapsed(lease),
+            Command::LeaseExpired(lease) => self.on_lease_expired(lease),
             Command::Acquired(pool, result) => self.on_acquired(now, pool, result),
             Command::HandedOver(pool, done) => self.on_handed_over(&pool, done),
             Command::Load(target, report) => self.on_load(now, &target, report),
-            Command::Listing(target, list, sent) => self.on_listing(now, &target, list, sent),
+            Command::StreamListing(target, list, sent) => {
+                self.on_stream_listing(now, &target, list, sent);
+            }
             Command::CacheListing(target, listing) => self.on_cache_listing(&target, listing),
             Command::CacheEvents(target, events) => self.on_cache_events(&target, events),
-            Command::Gone(pool, stream, outcome) => self.on_gone(now, &pool, stream, outcome),
+            Command::CancelConfirmed(pool, stream, outcome) => {
+                self.on_cancel_confirmed(now, &pool, stream, outcome);
+            }
             Command::CancelUnconfirmed(pool, stream) => {
                 self.on_cancel_unconfirmed(now, &pool, stream);
             }
-            Command::Stop => self.told_to_stop = true,
+            Command::Stop => self.stop_requested = true,
         }
-        if is_news {
+        if publish_now {
             self.publish(now);
         }
     }
@@ -168,16 +172,17 @@
         self.update_stopping(now);
         self.send_heartbeats(now);
         self.poll_targets(now);
-        self.seek_ownership(now);
+        self.acquire_ownerless_pools(now);
         self.expire_waiters(now);
-        self.reclaim_unclaimed(now);
+        self.cancel_orphans(now);
         self.dispatch_all();
         self.publish(now);
     }
 
     /// Whether the store answered lately.
     pub(super) fn store_reachable(&self, now: Instant) -> bool {
-        self.store_heard.is_some_and(|at| now - at <= STORE_TIMEOUT)
+        self.store_last_seen
+            .is_some_and(|at| now - at <= STORE_TIMEOUT)
     }
 
     /// Sends a command to itself from a task.
@@ -194,7 +199,7 @@
     }
 
     /// Nodes of the last known list, this one included.
-    pub(super) fn roster_len(&self) -> usize {
+    pub(super) fn node_count(&self) -> usize {
         self.hosts.entries.len().max(1)
     }
 
@@ -209,7 +214,7 @@
             .rules
             .document
             .is_stopping(name, azuresaddle_store::unix_ms());
-        if !(self.told_to_stop || listed || planned) {
+        if !(self.stop_requested || listed || planned) {
             if self.stopping_since.take().is_some() {
                 tracing::info!("node: stop cancelled");
             }
@@ -223,7 +228,7 @@
 
     fn admission(&self, now: Instant) -> Admission {
         // Callers may hold the address for its time to live after it was last given out.
-        let held = self.parts.settings.address_ttl + PEER_NEWS_DELAY;
+        let held = self.parts.settings.address_ttl + STOP_PROPAGATION_DELAY;
         if self.stopping_since.is_some_and(|since| now - since > held) {
             return Admission::Stopping;
         }
@@ -231,7 +236,7 @@
             return Admission::NoRules;
         }
         if !self.store_reachable(now) && !self.reaches_majority(now) {
-            return Admission::CutOff;
+            return Admission::Partitioned;
         }
         Admission::Open
     }
@@ -239,7 +244,7 @@
     /// Whether more than half of the nodes, this one included, showed signs of life lately.
     pub(super) fn reaches_majority(&self, now: Instant) -> bool {
         let alive = self.peers.values().filter(|p| p.is_alive(now)).count() + 1;
-        alive * 2 > self.roster_len()
+        alive * 2 > self.node_count()
     }
 
     /// Publishes a snapshot of what traffic needs.
@@ -248,9 +253,9 @@
         let mut digests: Vec<_> = self.digests.values().map(|(d, _)| d.clone()).collect();
         for (id, owned) in &self.owned {
             digests.retain(|d| d.digest.pool != *id);
-            digests.push(SeenDigest {
+            digests.push(ReceivedDigest {
                 digest: owned.pool.digest(now, id.clone()),
-                seen: now,
+                received_at: now,
             });
         }
         let owners = if *present.owners == self.owners {
@@ -284,7 +289,7 @@
 }
 
 /// Time for other nodes to learn that this one stops.
-const PEER_NEWS_DELAY: Duration = Duration::from_secs(2);
+const STOP_PROPAGATION_DELAY: Duration = Duration::from_secs(2);
 
 async fn sleep_until(at: Option<Instant>) {
     match at {
--- a/crates/azuresaddle-node/src/control/cancel.rs
+++ b/crates/azuresaddle-node/src/control/cancel.rs
@@ -11,13 +11,13 @@
 use super::actor::Control;
 use super::command::Command;
 use crate::engine::EngineClient;
-use crate::engine::wire::Fence;
+use crate::engine::wire::FencingToken;
 
 /// First pause between orders to cancel.
-const FIRST_PAUSE: Duration = Duration::from_millis(200);
+const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// Longest pause between orders to cancel.
-const MAX_PAUSE: Duration = Duration::from_secs(5);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(5);
 
 /// Orders to cancel before the task ends; the claim timeout starts another.
 const MAX_ATTEMPTS: u32 = 20;
@@ -35,7 +35,7 @@
         let Some(owned) = self.owned.get_mut(pool) else {
             return;
         };
-        owned.claimed.remove(&stream);
+        owned.last_in_use.remove(&stream);
         let names = owned.pool.targets_of(stream);
         if names.is_empty() {
             owned.pool.on_end(now, stream, outcome);
@@ -45,7 +45,7 @@
         if owned.cancelling.insert(stream, now).is_some() {
             return;
         }
-        let fence = Fence {
+        let fence = FencingToken {
             pool: pool.to_string(),
             epoch: owned.epoch,
         };
@@ -60,13 +60,13 @@
         self.spawn_command(async move {
             let cancels = addrs
                 .into_iter()
-                .map(|addr| cancel_on(&client, addr, stream, &fence));
+                .map(|addr| cancel_on_target(&client, addr, stream, &fence));
             let confirmed = join_all(cancels)
                 .await
                 .into_iter()
                 .all(|confirmed| confirmed);
             Some(if confirmed {
-                Command::Gone(pool, stream, outcome)
+                Command::CancelConfirmed(pool, stream, outcome)
             } else {
                 Command::CancelUnconfirmed(pool, stream)
             })
@@ -76,11 +76,11 @@
     pub(super) fn on_cancel_unconfirmed(&mut self, now: Instant, pool: &PoolId, stream: StreamId) {
         if let Some(owned) = self.owned.get_mut(pool) {
             owned.cancelling.remove(&stream);
-            owned.claimed.insert(stream, now);
+            owned.last_in_use.insert(stream, now);
         }
     }
 
-    pub(super) fn on_gone(
+    pub(super) fn on_cancel_confirmed(
         &mut self,
         now: Instant,
         pool: &PoolId,
@@ -96,19 +96,19 @@
 }
 
 /// Orders a target to cancel until it confirms; false where it never did.
-async fn cancel_on<N: Network>(
+async fn cancel_on_target<N: Network>(
     client: &EngineClient<N>,
     addr: SocketAddr,
     stream: StreamId,
-    fence: &Fence,
+    fence: &FencingToken,
 ) -> bool {
-    let mut pause = FIRST_PAUSE;
+    let mut delay = INITIAL_RETRY_DELAY;
     for _ in 0..MAX_ATTEMPTS {
         if let Ok(true) = client.cancel(addr, stream, fence).await {
             return true;
         }
-        tokio::time::sleep(pause).await;
-        pause = (pause * 2).min(MAX_PAUSE);
+        tokio::time::sleep(delay).await;
+        delay = (delay * 2).min(MAX_RETRY_DELAY);
     }
     false
 }
--- a/crates/azuresaddle-node/src/control/command.rs
+++ b/crates/azuresaddle-node/src/control/command.rs
@@ -34,7 +34,7 @@
     /// The lease was granted or renewed by a call sent at that time.
     LeaseHeld(LeaseId, Instant),
     /// The lease has lapsed in the store.
-    LeaseLapsed(LeaseId),
+    LeaseExpired(LeaseId),
     /// An attempt to own a pool ended.
     Acquired(PoolId, Result<OwnerRecord, StoreError>),
     /// An attempt to hand a pool over ended.
@@ -42,13 +42,13 @@
     /// A target answered a poll, or did not.
     Load(HostName, Option<LoadReport>),
     /// A target listed its streams at that time.
-    Listing(HostName, StreamList, Instant),
+    StreamListing(HostName, StreamList, Instant),
     /// A target listed its prefix cache.
     CacheListing(HostName, CacheListing),
     /// A target's cache events.
     CacheEvents(HostName, Vec<azuresaddle_sched::CacheEvent>),
     /// A stream is known to be gone from its targets.
-    Gone(PoolId, StreamId, Outcome),
+    CancelConfirmed(PoolId, StreamId, Outcome),
     /// No target confirmed that a stream is gone.
     CancelUnconfirmed(PoolId, StreamId),
     /// The process was told to stop.
@@ -57,7 +57,7 @@
 
 impl Command {
     /// Whether traffic has to know of the change at once; other changes wait for the next tick.
-    pub(super) fn is_news_for_traffic(&self) -> bool {
+    pub(super) fn needs_immediate_publish(&self) -> bool {
         !matches!(
             self,
             Self::Reserve(..)
@@ -68,7 +68,7 @@
                 | Self::Load(..)
                 | Self::CacheEvents(..)
                 | Self::CacheListing(..)
-                | Self::Gone(..)
+                | Self::CancelConfirmed(..)
                 | Self::CancelUnconfirmed(..)
         )
     }
--- a/crates/azuresaddle-node/src/control/heartbeats.rs
+++ b/crates/azuresaddle-node/src/control/heartbeats.rs
@@ -9,21 +9,24 @@
 use super::actor::Control;
 use super::command::Command;
 use crate::peer::{Heartbeat, HeartbeatReply, PeerClient};
-use crate::snapshot::SeenDigest;
+use crate::snapshot::ReceivedDigest;
 
 /// Interval of heartbeats to each other node.
-const INTERVAL: Duration = Duration::from_secs(1);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Longest wait for an answer.
-const TIMEOUT: Duration = Duration::from_secs(2);
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl<N: Network> Control<N> {
     pub(super) fn send_heartbeats(&mut self, now: Instant) {
-        if self.last_heartbeat.is_some_and(|at| now - at < INTERVAL) {
+        if self
+            .last_heartbeat
+            .is_some_and(|at| now - at < HEARTBEAT_INTERVAL)
+        {
             return;
         }
         self.last_heartbeat = Some(now);
-        self.claim_own_streams(now);
+        self.mark_own_streams_in_use(now);
         let own = &self.parts.settings.name;
         for entry in self.hosts.entries.iter().filter(|e| e.name != *own) {
             let owners = &self.owners;
@@ -43,24 +46,24 @@
             let addr = entry.peer_addr;
             self.spawn_command(async move {
                 let call = async |client: PeerClient, cx| client.heartbeat(cx, heartbeat).await;
-                let reply = peers.call(addr, TIMEOUT, call).await.ok()?;
+                let reply = peers.call(addr, HEARTBEAT_TIMEOUT, call).await.ok()?;
                 Some(Command::HeartbeatAnswered(name, reply))
             });
         }
     }
 
     /// Claims the attempts of this node in its own pools.
-    fn claim_own_streams(&mut self, now: Instant) {
+    fn mark_own_streams_in_use(&mut self, now: Instant) {
         let owned = &self.owned;
         let streams = self.parts.live.list(|pool| owned.contains_key(pool));
-        self.claim(now, &streams);
+        self.mark_in_use(now, &streams);
     }
 
-    fn claim(&mut self, now: Instant, streams: &[StreamId]) {
+    fn mark_in_use(&mut self, now: Instant, streams: &[StreamId]) {
         for owned in self.owned.values_mut() {
             for stream in streams {
                 if owned.pool.knows(*stream) {
-                    owned.claimed.insert(*stream, now);
+                    owned.last_in_use.insert(*stream, now);
                 }
             }
         }
@@ -73,11 +76,11 @@
         reply: oneshot::Sender<HeartbeatReply>,
     ) {
         if let Some(peer) = self.peers.get_mut(&heartbeat.node) {
-            peer.heard = Some(now);
+            peer.last_seen = Some(now);
             peer.store_reachable = heartbeat.store_reachable;
         }
-        self.claim(now, &heartbeat.streams);
-        self.consider_rules_of(&heartbeat.node, heartbeat.rules);
+        self.mark_in_use(now, &heartbeat.streams);
+        self.fetch_newer_rules(&heartbeat.node, heartbeat.rules);
         let digests = self
             .owned
             .iter()
@@ -98,18 +101,22 @@
         reply: HeartbeatReply,
     ) {
         if let Some(peer) = self.peers.get_mut(node) {
-            peer.heard = Some(now);
+            peer.last_seen = Some(now);
             peer.store_reachable = reply.store_reachable;
             peer.stopping = reply.stopping;
         }
-        self.consider_rules_of(node, reply.rules);
+        self.fetch_newer_rules(node, reply.rules);
         for (digest, epoch) in reply.digests {
             let known = self.digests.get(&digest.pool);
             if known.is_some_and(|(_, known)| *known > epoch) {
                 continue;
             }
-            let seen = SeenDigest { digest, seen: now };
-            self.digests.insert(seen.digest.pool.clone(), (seen, epoch));
+            let received = ReceivedDigest {
+                digest,
+                received_at: now,
+            };
+            self.digests
+                .insert(received.digest.pool.clone(), (received, epoch));
         }
     }
 }
--- a/crates/azuresaddle-node/src/control/lease.rs
+++ b/crates/azuresaddle-node/src/control/lease.rs
@@ -10,10 +10,10 @@
 use super::command::Command;
 
 /// Part of the time to live that is given up for clocks that run at different rates.
-const MARGIN: u32 = 6;
+const CLOCK_DRIFT_DIVISOR: u32 = 6;
 
 /// Renewals within one time to live.
-const RENEWALS: u32 = 3;
+const RENEWALS_PER_TTL: u32 = 3;
 
 /// A lease as its holder sees it.
 #[derive(Clone, Copy, Debug)]
@@ -24,7 +24,7 @@
 }
 
 impl<N: Network> Control<N> {
-    pub(super) fn spawn_lease_keeper(&self) {
+    pub(super) fn spawn_lease_renewal(&self) {
         let store = self.parts.store.clone();
         let ttl = self.parts.settings.lease_ttl;
         let tx = self.parts.tx.clone();
@@ -44,27 +44,27 @@
                     }
                     Err(StoreError::LeaseExpired) => {
                         if let Some(lease) = held.take() {
-                            let _ = tx.send(Command::LeaseLapsed(lease)).await;
+                            let _ = tx.send(Command::LeaseExpired(lease)).await;
                         }
                         continue;
                     }
                     Err(_) => {}
                 }
-                tokio::time::sleep(jittered(ttl / RENEWALS)).await;
+                tokio::time::sleep(jittered(ttl / RENEWALS_PER_TTL)).await;
             }
         });
     }
 
     pub(super) fn on_lease_held(&mut self, id: LeaseId, sent: Instant) {
-        self.store_heard = Some(sent.max(self.store_heard.unwrap_or(sent)));
+        self.store_last_seen = Some(sent.max(self.store_last_seen.unwrap_or(sent)));
         let ttl = self.parts.settings.lease_ttl;
         self.lease = Some(HeldLease {
             id,
-            valid_until: sent + ttl - ttl / MARGIN,
+            valid_until: sent + ttl - ttl / CLOCK_DRIFT_DIVISOR,
         });
     }
 
-    pub(super) fn on_lease_lapsed(&mut self, id: LeaseId) {
+    pub(super) fn on_lease_expired(&mut self, id: LeaseId) {
         if self.lease.is_some_and(|lease| lease.id == id) {
             tracing::warn!("owner: lease lapsed");
             self.lease = None;
@@ -87,7 +87,7 @@
             .values()
             .filter(|p| p.is_alive(now) && !p.store_reachable)
             .count();
-        (without_store + 1) * 2 > self.roster_len()
+        (without_store + 1) * 2 > self.node_count()
     }
 }
 
--- a/crates/azuresaddle-node/src/control/live_streams.rs
+++ b/crates/azuresaddle-node/src/control/live_streams.rs
@@ -13,7 +13,7 @@
 
 impl LiveStreams {
     /// Adds an attempt until the returned guard is dropped.
-    pub fn enter(&self, stream: StreamId, pool: &PoolId) -> LiveStreamGuard {
+    pub fn register(&self, stream: StreamId, pool: &PoolId) -> LiveStreamGuard {
         self.lock().insert(stream, pool.clone());
         LiveStreamGuard {
             streams: self.clone(),
--- a/crates/azuresaddle-node/src/control/owned_pool.rs
+++ b/crates/azuresaddle-node/src/control/owned_pool.rs
@@ -25,13 +25,13 @@
     /// Refusals that no call was waiting for.
     pub(super) refusals: HashMap<StreamId, (Refusal, Instant)>,
     /// When a node last said that it waits for or relays an attempt.
-    pub(super) claimed: HashMap<StreamId, Instant>,
+    pub(super) last_in_use: HashMap<StreamId, Instant>,
     /// Attempts that are being cancelled on their targets.
     pub(super) cancelling: HashMap<StreamId, Instant>,
     /// Targets whose streams were listed since this node owns the pool.
     pub(super) listed: HashMap<HostName, Instant>,
     /// Position in the cache events of each target.
-    pub(super) cache_seen: HashMap<HostName, u64>,
+    pub(super) cache_sequences: HashMap<HostName, u64>,
     /// Since when this node owns the pool.
     pub(super) since: Instant,
     /// The pool is being handed over and decides nothing more.
@@ -53,10 +53,10 @@
             waiters: HashMap::new(),
             grants: HashMap::new(),
             refusals: HashMap::new(),
-            claimed: HashMap::new(),
+            last_in_use: HashMap::new(),
             cancelling: HashMap::new(),
             listed: HashMap::new(),
-            cache_seen: HashMap::new(),
+            cache_sequences: HashMap::new(),
             since: now,
             handing_over: false,
         }
@@ -69,7 +69,7 @@
     }
 
     /// Answers every waiting call that this node decides no more.
-    pub(super) fn dismiss(&mut self) {
+    pub(super) fn reply_not_owner(&mut self) {
         for (_, waiter) in self.waiters.drain() {
             let _ = waiter.reply.send(ReserveReply::NotOwner);
         }
@@ -78,7 +78,7 @@
     /// Forgets an attempt that has ended.
     pub(super) fn forget(&mut self, stream: StreamId) {
         self.grants.remove(&stream);
-        self.claimed.remove(&stream);
+        self.last_in_use.remove(&stream);
         self.cancelling.remove(&stream);
     }
 }
--- a/crates/azuresaddle-node/src/control/ownership.rs
+++ b/crates/azuresaddle-node/src/control/ownership.rs
@@ -16,7 +16,7 @@
 const RANK_DELAY: Duration = Duration::from_secs(1);
 
 /// Time after the start in which a node learns of the others before it seeks pools.
-const SETTLE_TIME: Duration = Duration::from_millis(1500);
+const STARTUP_DELAY: Duration = Duration::from_millis(1500);
 
 impl<N: Network> Control<N> {
     /// Takes a record of the store; one with a lower epoch is old news.
@@ -38,8 +38,8 @@
     }
 
     /// Starts attempts to own pools that have no living owner.
-    pub(super) fn seek_ownership(&mut self, now: Instant) {
-        self.owned_without_targets();
+    pub(super) fn acquire_ownerless_pools(&mut self, now: Instant) {
+        self.drop_unlisted_pools();
         if self.stopping_since.is_some() {
             self.hand_over_all();
             return;
@@ -47,43 +47,43 @@
         let Some(lease) = self.lease.filter(|lease| now < lease.valid_until) else {
             return;
         };
-        if now - self.started < SETTLE_TIME {
+        if now - self.started < STARTUP_DELAY {
             return;
         }
         let pools: Vec<PoolId> = self.hosts.pools.keys().cloned().collect();
         for pool in pools {
-            if !self.acquiring.contains(&pool) && self.should_seek(now, &pool, lease.id) {
+            if !self.acquiring.contains(&pool) && self.should_acquire(now, &pool, lease.id) {
                 self.spawn_acquire(pool, lease.id);
             }
         }
     }
 
-    fn should_seek(&self, now: Instant, pool: &PoolId, lease: LeaseId) -> bool {
+    fn should_acquire(&self, now: Instant, pool: &PoolId, lease: LeaseId) -> bool {
         let record = self.owners.get(pool);
         if let Some(record) = record
             && record.owner == self.parts.settings.name
         {
             return record.lease != lease;
         }
-        let Some(vacant_since) = self.vacant_since(now, record) else {
+        let Some(ownerless_since) = self.ownerless_since(now, record) else {
             return false;
         };
         let rank = self.rank(now, pool);
-        now >= vacant_since + RANK_DELAY * rank
+        now >= ownerless_since + RANK_DELAY * rank
     }
 
     /// Since when a pool seems to have no owner.
-    fn vacant_since(&self, now: Instant, record: Option<&OwnerRecord>) -> Option<Instant> {
-        let settled = self.started + SETTLE_TIME;
+    fn ownerless_since(&self, now: Instant, record: Option<&OwnerRecord>) -> Option<Instant> {
+        let startup_end = self.started + STARTUP_DELAY;
         let Some(record) = record else {
-            return Some(settled);
+            return Some(startup_end);
         };
         if record.lease == NO_LEASE {
-            return Some(settled);
+            return Some(startup_end);
         }
         match self.peers.get(&record.owner) {
             Some(peer) => peer.silent_since(now),
-            None => Some(settled),
+            None => Some(startup_end),
         }
     }
 
@@ -158,17 +158,17 @@
     fn stop_owning(&mut self, pool: &PoolId) {
         if let Some(mut owned) = self.owned.remove(pool) {
             tracing::info!("owner: pool {pool} has another owner");
-            owned.dismiss();
+            owned.reply_not_owner();
         }
     }
 
     /// Drops pools that the host list no longer has.
-    fn owned_without_targets(&mut self) {
+    fn drop_unlisted_pools(&mut self) {
         let hosts = &self.hosts;
         self.owned.retain(|pool, owned| {
             let exists = hosts.pools.contains_key(pool);
             if !exists {
-                owned.dismiss();
+                owned.reply_not_owner();
             }
             exists
         });
@@ -184,7 +184,7 @@
                 continue;
             }
             owned.handing_over = true;
-            owned.dismiss();
+            owned.reply_not_owner();
             let epoch = owned.epoch;
             let store = self.parts.store.clone();
             self.spawn_command(async move {
--- a/crates/azuresaddle-node/src/control/peer_state.rs
+++ b/crates/azuresaddle-node/src/control/peer_state.rs
@@ -10,7 +10,7 @@
 /// Last signs of life of a node.
 #[derive(Clone, Debug)]
 pub(super) struct PeerState {
-    pub(super) heard: Option<Instant>,
+    pub(super) last_seen: Option<Instant>,
     pub(super) store_reachable: bool,
     pub(super) stopping: bool,
     /// When this node first heard of the other.
@@ -20,7 +20,7 @@
 impl PeerState {
     pub(super) fn new(now: Instant) -> Self {
         Self {
-            heard: None,
+            last_seen: None,
             store_reachable: true,
             stopping: false,
             known_since: now,
@@ -28,12 +28,12 @@
     }
 
     pub(super) fn is_alive(&self, now: Instant) -> bool {
-        self.heard.is_some_and(|at| now - at <= PEER_TIMEOUT)
+        self.last_seen.is_some_and(|at| now - at <= PEER_TIMEOUT)
     }
 
     /// Since when the node has been silent for too long.
     pub(super) fn silent_since(&self, now: Instant) -> Option<Instant> {
-        let last = self.heard.unwrap_or(self.known_since);
+        let last = self.last_seen.unwrap_or(self.known_since);
         (now - last > PEER_TIMEOUT).then_some(last + PEER_TIMEOUT)
     }
 }
--- a/crates/azuresaddle-node/src/control/reservations.rs
+++ b/crates/azuresaddle-node/src/control/reservations.rs
@@ -17,10 +17,10 @@
 
 /// Time without a sign of a node's interest after which its attempt is cancelled. A caller can go
 /// on with the answer through another node within this time.
-const CLAIM_TIMEOUT: Duration = Duration::from_secs(8);
+const ORPHAN_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// Time for which a refusal that nobody was waiting for is kept.
-const REFUSAL_KEPT: Duration = Duration::from_secs(5);
+const REFUSAL_RETENTION: Duration = Duration::from_secs(5);
 
 impl<N: Network> Control<N> {
     pub(super) fn on_reserve(
@@ -61,7 +61,7 @@
                 })
             })
             .collect();
-        let nodes = self.roster_len();
+        let nodes = self.node_count();
         let memory = req.prompt_tokens + req.max_tokens;
         let placed = self
             .fallback
@@ -115,7 +115,7 @@
 
     pub(super) fn on_take_over(&mut self, now: Instant, take_over: TakeOver) {
         if let Some(owned) = self.owned.get_mut(&take_over.pool) {
-            owned.claimed.insert(take_over.stream, now);
+            owned.last_in_use.insert(take_over.stream, now);
             owned.pool.on_taken_over(take_over.stream, take_over.node);
         }
     }
@@ -146,38 +146,40 @@
                     let _ = waiter.reply.send(ReserveReply::Pending);
                 }
             }
-            owned.refusals.retain(|_, (_, at)| now - *at < REFUSAL_KEPT);
+            owned
+                .refusals
+                .retain(|_, (_, at)| now - *at < REFUSAL_RETENTION);
         }
     }
 
     /// Cancels attempts that no living node waits for or relays.
-    pub(super) fn reclaim_unclaimed(&mut self, now: Instant) {
-        let mut unclaimed = Vec::new();
+    pub(super) fn cancel_orphans(&mut self, now: Instant) {
+        let mut orphans = Vec::new();
         for (id, owned) in &mut self.owned {
-            let is_stale = |(_, at): &(&StreamId, &Instant)| now - **at > CLAIM_TIMEOUT;
+            let is_stale = |(_, at): &(&StreamId, &Instant)| now - **at > ORPHAN_TIMEOUT;
             let stale: Vec<_> = owned
-                .claimed
+                .last_in_use
                 .iter()
                 .filter(is_stale)
                 .map(|(s, _)| *s)
                 .collect();
             for stream in stale {
-                if owned_waits(owned, stream) {
+                if is_waiting(owned, stream) {
                     owned.pool.on_end(now, stream, Outcome::Cancelled);
                     owned.forget(stream);
                     continue;
                 }
-                unclaimed.push((id.clone(), stream));
+                orphans.push((id.clone(), stream));
             }
         }
-        for (id, stream) in unclaimed {
+        for (id, stream) in orphans {
             tracing::info!("owner: no node claims {stream}, cancelling");
             self.begin_cancel(now, &id, stream, Outcome::Cancelled);
         }
     }
 }
 
-fn owned_waits(owned: &OwnedPool, stream: StreamId) -> bool {
+fn is_waiting(owned: &OwnedPool, stream: StreamId) -> bool {
     owned.pool.knows(stream) && owned.pool.targets_of(stream).is_empty()
 }
 
@@ -188,13 +190,13 @@
             let _ = reply.send(ReserveReply::Refused(refusal));
             return;
         }
-        self.claimed.insert(stream, now);
+        self.last_in_use.insert(stream, now);
         if let Some(grant) = self.grants.get(&stream).cloned() {
             let epoch = self.epoch;
             let _ = reply.send(ReserveReply::Reserved { grant, epoch });
             return;
         }
-        self.pool.enqueue(now, to_ask(now, req));
+        self.pool.enqueue(now, to_reservation_request(now, req));
         self.waiters.insert(stream, Waiter { reply, since: now });
     }
 
@@ -212,7 +214,7 @@
                     }
                 }
                 Action::Refused { stream, refusal } => {
-                    self.claimed.remove(&stream);
+                    self.last_in_use.remove(&stream);
                     match self.waiters.remove(&stream) {
                         Some(waiter) => {
                             let _ = waiter.reply.send(ReserveReply::Refused(refusal));
@@ -227,7 +229,7 @@
     }
 }
 
-fn to_ask(now: Instant, req: ReserveRequest) -> ReservationRequest {
+fn to_reservation_request(now: Instant, req: ReserveRequest) -> ReservationRequest {
     ReservationRequest {
         stream: req.stream,
         node: req.node,
--- a/crates/azuresaddle-node/src/control/rules.rs
+++ b/crates/azuresaddle-node/src/control/rules.rs
@@ -58,7 +58,7 @@
     }
 
     pub(super) fn on_store_changes(&mut self, now: Instant, changes: Changes) {
-        self.store_heard = Some(now);
+        self.store_last_seen = Some(now);
         self.rules_known = true;
         for entry in changes.entries {
             if entry.key == RULES_KEY {
@@ -87,7 +87,7 @@
     }
 
     /// Fetches the rules of a node that has a higher version, or any while none are known.
-    pub(super) fn consider_rules_of(&mut self, node: &HostName, version: RulesVersion) {
+    pub(super) fn fetch_newer_rules(&mut self, node: &HostName, version: RulesVersion) {
         let is_news = version > self.rules.version || !self.rules_known;
         if !is_news || self.fetching_rules {
             return;
--- a/crates/azuresaddle-node/src/control/targets.rs
+++ b/crates/azuresaddle-node/src/control/targets.rs
@@ -19,7 +19,7 @@
 const LISTING_INTERVAL: Duration = Duration::from_secs(15);
 
 /// Age of a reservation from which it must be listed by its target.
-const LISTED_AGE: Duration = Duration::from_secs(5);
+const MIN_LISTED_AGE: Duration = Duration::from_secs(5);
 
 impl<N: Network> Control<N> {
     /// Brings the owned pools in line with the host list and the planned stops.
@@ -67,15 +67,15 @@
             for name in owned.pool.target_names() {
                 let last = owned.listed.get(name);
                 if last.is_none_or(|at| now - *at > LISTING_INTERVAL) {
-                    self.spawn_listing(name);
+                    self.spawn_stream_listing(name);
                 }
-                let seen = owned.cache_seen.get(name).copied();
+                let seen = owned.cache_sequences.get(name).copied();
                 self.spawn_poll(name, seen);
             }
         }
     }
 
-    fn spawn_listing(&self, name: &HostName) {
+    fn spawn_stream_listing(&self, name: &HostName) {
         let Some(engine) = self.hosts.engines.get(name) else {
             return;
         };
@@ -84,12 +84,12 @@
         let sent = Instant::now();
         self.spawn_command(async move {
             let list = engines.streams(addr).await.ok()?;
-            Some(Command::Listing(name, list, sent))
+            Some(Command::StreamListing(name, list, sent))
         });
     }
 
     /// Reads a target's load and, where there is news, its cache events.
-    fn spawn_poll(&self, name: &HostName, cache_seen: Option<u64>) {
+    fn spawn_poll(&self, name: &HostName, last_cache_sequence: Option<u64>) {
         let Some(engine) = self.hosts.engines.get(name) else {
             return;
         };
@@ -101,7 +101,7 @@
             let sequence = report.as_ref().map(|r| r.cache_sequence);
             let _ = tx.send(Command::Load(name.clone(), report)).await;
             let sequence = sequence?;
-            match cache_seen {
+            match last_cache_sequence {
                 Some(seen) if seen >= sequence => None,
                 Some(seen) => {
                     let changes = engines.cache_changes(addr, seen).await.ok()?;
@@ -125,7 +125,7 @@
     }
 
     /// Adopts streams that the ledger lacks, and drops reservations that the target lacks.
-    pub(super) fn on_listing(
+    pub(super) fn on_stream_listing(
         &mut self,
         now: Instant,
         name: &HostName,
@@ -142,9 +142,12 @@
                 // One that ended while the listing was under way is cancelled again, as no node
                 // claims it.
                 owned.pool.adopt(now, name, live);
-                owned.claimed.entry(live.stream).or_insert(now);
+                owned.last_in_use.entry(live.stream).or_insert(now);
             }
-            for stream in owned.pool.missing_on(sent, name, &list.streams, LISTED_AGE) {
+            for stream in owned
+                .pool
+                .missing_on(sent, name, &list.streams, MIN_LISTED_AGE)
+            {
                 tracing::warn!("owner: {name} does not run {stream}, reservation dropped");
                 owned.pool.on_end(now, stream, Outcome::Cancelled);
                 owned.forget(stream);
@@ -158,7 +161,7 @@
         for owned in self.owned.values_mut() {
             let blocks = listing.blocks.iter().copied();
             owned.pool.on_cache_listing(name, listing.sequence, blocks);
-            owned.cache_seen.insert(name.clone(), listing.sequence);
+            owned.cache_sequences.insert(name.clone(), listing.sequence);
         }
     }
 
@@ -167,10 +170,10 @@
             for event in &events {
                 if owned.pool.on_cache_event(name, *event) {
                     // A gap: the next poll lists the cache anew.
-                    owned.cache_seen.remove(name);
+                    owned.cache_sequences.remove(name);
                     break;
                 }
-                owned.cache_seen.insert(name.clone(), event.sequence);
+                owned.cache_sequences.insert(name.clone(), event.sequence);
             }
         }
     }
--- a/crates/azuresaddle-node/src/engine/client.rs
+++ b/crates/azuresaddle-node/src/engine/client.rs
@@ -11,11 +11,12 @@
 use hyper::{Method, Request, Response, StatusCode};
 use serde::Serialize;
 
+use super::error::EngineError;
 use super::event_stream::EngineStream;
-use super::failure::EngineFailure;
 use super::wire::{
-    CacheChanges, CacheListing, Fence, Gone, Lend, LoadReport, Start, StreamList, TITLE_DISPLACED,
-    TITLE_DUPLICATE, TITLE_FENCED, TITLE_NO_MEMORY, TITLE_UNKNOWN,
+    CacheChanges, CacheListing, FencingToken, GoneReply, LendRequest, LoadReport, StartRequest,
+    StreamList, TITLE_DISPLACED, TITLE_DUPLICATE, TITLE_FENCED, TITLE_NO_MEMORY,
+    TITLE_UNKNOWN_STREAM,
 };
 
 /// Longest problem body, in bytes.
@@ -41,10 +42,10 @@
     pub async fn start(
         &self,
         addr: SocketAddr,
-        start: &Start,
-    ) -> Result<EngineStream, EngineFailure> {
+        start: &StartRequest,
+    ) -> Result<EngineStream, EngineError> {
         let req = json_request(Method::POST, "/v1/streams", start);
-        self.open(addr, req).await
+        self.open_stream(addr, req).await
     }
 
     /// Reads a running stream from an index on.
@@ -58,19 +59,19 @@
         after: u64,
         node: &HostName,
         take_over: bool,
-    ) -> Result<EngineStream, EngineFailure> {
+    ) -> Result<EngineStream, EngineError> {
         let path = format!("/v1/streams/{stream}?after={after}&node={node}&take-over={take_over}");
         let req = Request::get(path)
             .body(Full::default())
-            .map_err(|e| EngineFailure::Refused(e.to_string()))?;
-        self.open(addr, req).await
+            .map_err(|e| EngineError::Refused(e.to_string()))?;
+        self.open_stream(addr, req).await
     }
 
     /// Holds memory on an engine for a stream that another leads.
     ///
     /// # Errors
     /// Where the engine does not hold it.
-    pub async fn lend(&self, addr: SocketAddr, lend: &Lend) -> Result<(), EngineFailure> {
+    pub async fn lend(&self, addr: SocketAddr, lend: &LendRequest) -> Result<(), EngineError> {
         let req = json_request(Method::POST, "/v1/lends", lend);
         let resp = self.http.send(addr, req, self.timeout).await?;
         check_status(resp, self.timeout).await.map(|_| ())
@@ -84,13 +85,13 @@
         &self,
         addr: SocketAddr,
         stream: StreamId,
-        fence: &Fence,
+        fence: &FencingToken,
     ) -> Result<bool, HttpError> {
         let path = format!(
             "/v1/streams/{stream}?pool={}&epoch={}",
             fence.pool, fence.epoch
         );
-        let gone: Gone = self
+        let gone: GoneReply = self
             .http
             .json(Method::DELETE, addr, &path, None::<&()>, self.timeout)
             .await?;
@@ -134,11 +135,11 @@
         self.http.get(addr, "/v1/cache/listing", self.timeout).await
     }
 
-    async fn open(
+    async fn open_stream(
         &self,
         addr: SocketAddr,
         req: Request<Full<Bytes>>,
-    ) -> Result<EngineStream, EngineFailure> {
+    ) -> Result<EngineStream, EngineError> {
         let resp = self.http.send(addr, req, self.timeout).await?;
         let resp = check_status(resp, self.timeout).await?;
         Ok(EngineStream::new(resp.into_body(), self.timeout))
@@ -157,23 +158,23 @@
 async fn check_status(
     resp: Response<Incoming>,
     timeout: Duration,
-) -> Result<Response<Incoming>, EngineFailure> {
+) -> Result<Response<Incoming>, EngineError> {
     if resp.status() == StatusCode::OK {
         return Ok(resp);
     }
     let status = resp.status();
     let bytes = read_limited(resp.into_body(), MAX_PROBLEM_BYTES, timeout)
         .await
-        .map_err(|e| EngineFailure::Unknown(e.to_string()))?;
+        .map_err(|e| EngineError::Unknown(e.to_string()))?;
     let Ok(problem) = serde_json::from_slice::<Problem>(&bytes) else {
-        return Err(EngineFailure::Unknown(format!("status {status}")));
+        return Err(EngineError::Unknown(format!("status {status}")));
     };
     Err(match problem.title.as_str() {
-        TITLE_FENCED | TITLE_NO_MEMORY => EngineFailure::Refused(problem.title),
-        TITLE_DUPLICATE => EngineFailure::Duplicate,
-        TITLE_DISPLACED => EngineFailure::Displaced,
-        TITLE_UNKNOWN => EngineFailure::UnknownStream,
-        _ if problem.verdict == Verdict::NotRun => EngineFailure::Refused(problem.detail),
-        _ => EngineFailure::Unknown(problem.detail),
+        TITLE_FENCED | TITLE_NO_MEMORY => EngineError::Refused(problem.title),
+        TITLE_DUPLICATE => EngineError::Duplicate,
+        TITLE_DISPLACED => EngineError::Displaced,
+        TITLE_UNKNOWN_STREAM => EngineError::UnknownStream,
+        _ if problem.verdict == Verdict::NotRun => EngineError::Refused(problem.detail),
+        _ => EngineError::Unknown(problem.detail),
     })
 }
--- a/crates/azuresaddle-node/src/engine/failure.rs
+++ b/crates/azuresaddle-node/src/engine/error.rs
@@ -6,7 +6,7 @@
 
 /// Why an engine did not take an order.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
-pub enum EngineFailure {
+pub enum EngineError {
     /// No connection was made.
     #[error("target unreachable: {0}")]
     Unreachable(String),
@@ -27,7 +27,7 @@
     Unknown(String),
 }
 
-impl EngineFailure {
+impl EngineError {
     /// What the failure says about the execution.
     pub fn verdict(&self) -> Verdict {
         match self {
@@ -37,7 +37,7 @@
     }
 }
 
-impl From<HttpError> for EngineFailure {
+impl From<HttpError> for EngineError {
     fn from(e: HttpError) -> Self {
         match e.verdict() {
             Verdict::NotRun => Self::Unreachable(e.to_string()),
--- a/crates/azuresaddle-node/src/engine/event_stream.rs
+++ b/crates/azuresaddle-node/src/engine/event_stream.rs
@@ -17,7 +17,7 @@
 
 /// Why a stream of events ended before its last token.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-pub enum StreamFailure {
+pub enum StreamError {
     /// The connection broke.
     #[error("the connection broke")]
     Broken,
@@ -33,16 +33,16 @@
 #[derive(Debug)]
 pub struct EngineStream {
     body: Incoming,
-    silence: Duration,
+    idle_timeout: Duration,
     line: Vec<u8>,
     ready: VecDeque<TokenEvent>,
 }
 
 impl EngineStream {
-    pub(super) fn new(body: Incoming, silence: Duration) -> Self {
+    pub(super) fn new(body: Incoming, idle_timeout: Duration) -> Self {
         Self {
             body,
-            silence,
+            idle_timeout,
             line: Vec::new(),
             ready: VecDeque::new(),
         }
@@ -52,41 +52,41 @@
     ///
     /// # Errors
     /// Where the connection breaks, is silent for too long, or carries what is no event.
-    pub async fn next(&mut self) -> Result<TokenEvent, StreamFailure> {
+    pub async fn next(&mut self) -> Result<TokenEvent, StreamError> {
         loop {
             if let Some(event) = self.ready.pop_front() {
                 return Ok(event);
             }
-            let frame = tokio::time::timeout(self.silence, self.body.frame())
+            let frame = tokio::time::timeout(self.idle_timeout, self.body.frame())
                 .await
-                .map_err(|_| StreamFailure::Silent)?
-                .ok_or(StreamFailure::Broken)?
-                .map_err(|_| StreamFailure::Broken)?;
+                .map_err(|_| StreamError::Silent)?
+                .ok_or(StreamError::Broken)?
+                .map_err(|_| StreamError::Broken)?;
             if let Some(data) = frame.data_ref() {
                 self.push(data)?;
             }
         }
     }
 
-    fn push(&mut self, data: &[u8]) -> Result<(), StreamFailure> {
+    fn push(&mut self, data: &[u8]) -> Result<(), StreamError> {
         for part in data.split_inclusive(|b| *b == b'\n') {
             self.line.extend_from_slice(part);
             if self.line.len() > MAX_LINE_BYTES {
-                return Err(StreamFailure::Malformed);
+                return Err(StreamError::Malformed);
             }
             if self.line.ends_with(b"\n") {
                 let line = std::mem::take(&mut self.line);
-                self.take_line(&line)?;
+                self.parse_line(&line)?;
             }
         }
         Ok(())
     }
 
-    fn take_line(&mut self, line: &[u8]) -> Result<(), StreamFailure> {
+    fn parse_line(&mut self, line: &[u8]) -> Result<(), StreamError> {
         let Some(data) = line.strip_prefix(DATA_PREFIX) else {
             return Ok(());
         };
-        let event = serde_json::from_slice(data).map_err(|_| StreamFailure::Malformed)?;
+        let event = serde_json::from_slice(data).map_err(|_| StreamError::Malformed)?;
         self.ready.push_back(event);
         Ok(())
     }
--- a/crates/azuresaddle-node/src/engine/mod.rs
+++ b/crates/azuresaddle-node/src/engine/mod.rs
@@ -1,10 +1,10 @@
 //! Client of the model engines. Another dialect of engine touches only this module.
 
 mod client;
+mod error;
 mod event_stream;
-mod failure;
 pub mod wire;
 
 pub use client::EngineClient;
-pub use event_stream::{EngineStream, StreamFailure};
-pub use failure::EngineFailure;
+pub use error::EngineError;
+pub use event_stream::{EngineStream, StreamError};
--- a/crates/azuresaddle-node/src/engine/wire.rs
+++ b/crates/azuresaddle-node/src/engine/wire.rs
@@ -2,10 +2,10 @@
 //!
 //! | call | body | answer |
 //! |---|---|---|
-//! | `POST /v1/streams` | [`Start`] | server-sent [`TokenEvent`]s |
+//! | `POST /v1/streams` | [`StartRequest`] | server-sent [`TokenEvent`]s |
 //! | `GET /v1/streams/ID?after=N&node=H&take-over=B` | | server-sent [`TokenEvent`]s from index N |
-//! | `DELETE /v1/streams/ID?pool=P&epoch=E` | | [`Gone`]; also for an unknown id; a finished stream stays readable |
-//! | `POST /v1/lends` | [`Lend`] | [`Gone`] with `gone: false` |
+//! | `DELETE /v1/streams/ID?pool=P&epoch=E` | | [`GoneReply`]; also for an unknown id; a finished stream stays readable |
+//! | `POST /v1/lends` | [`LendRequest`] | [`GoneReply`] with `gone: false` |
 //! | `GET /v1/streams` | | [`StreamList`] |
 //! | `GET /v1/load` | | [`LoadReport`] |
 //! | `GET /v1/cache?after=N` | | [`CacheChanges`] |
@@ -27,12 +27,12 @@
 /// Another node reads the stream.
 pub const TITLE_DISPLACED: &str = "displaced";
 /// The engine does not know the stream.
-pub const TITLE_UNKNOWN: &str = "unknown-stream";
+pub const TITLE_UNKNOWN_STREAM: &str = "unknown-stream";
 
 /// Fencing number of an order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct Fence {
+pub struct FencingToken {
     /// Name of the pool.
     pub pool: String,
     /// Epoch of the pool's owner.
@@ -42,7 +42,7 @@
 /// Starts a stream.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct Start {
+pub struct StartRequest {
     /// The attempt.
     pub stream: StreamId,
     /// The node that reads it.
@@ -62,13 +62,13 @@
     /// Engines that share the prefill, this one included.
     pub members: u32,
     /// Fencing number.
-    pub fence: Fence,
+    pub fence: FencingToken,
 }
 
 /// Holds memory for a stream that another engine leads.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct Lend {
+pub struct LendRequest {
     /// The attempt.
     pub stream: StreamId,
     /// The node that reads it.
@@ -78,7 +78,7 @@
     /// Memory to hold, in tokens.
     pub memory_tokens: u64,
     /// Fencing number.
-    pub fence: Fence,
+    pub fence: FencingToken,
 }
 
 /// One token of an answer.
@@ -98,7 +98,7 @@
 /// Whether a stream is gone and its memory free.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct Gone {
+pub struct GoneReply {
     /// True once the engine holds nothing for the stream.
     pub gone: bool,
 }
--- a/crates/azuresaddle-node/src/metrics.rs
+++ b/crates/azuresaddle-node/src/metrics.rs
@@ -18,7 +18,7 @@
 
 impl Metrics {
     /// Metrics that go nowhere.
-    pub fn off() -> Self {
+    pub fn disabled() -> Self {
         let client = StatsdClient::from_sink(PREFIX, NopMetricSink);
         Self {
             client: Arc::new(client),
--- a/crates/azuresaddle-node/src/node.rs
+++ b/crates/azuresaddle-node/src/node.rs
@@ -24,10 +24,10 @@
 };
 
 /// Most commands that wait for control; more senders wait.
-const MAX_COMMANDS: usize = 4096;
+const COMMAND_QUEUE_CAPACITY: usize = 4096;
 
 /// Interval at which a stopping node looks whether it is idle.
-const IDLE_CHECK: Duration = Duration::from_millis(200);
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Why a node could not be opened.
 #[derive(Debug, Error)]
@@ -78,7 +78,7 @@
         settings.check()?;
         let metrics = match settings.metrics {
             Some(addr) => Metrics::open(addr).map_err(OpenError::Metrics)?,
-            None => Metrics::off(),
+            None => Metrics::disabled(),
         };
         let callers = bind(&net, "listen", settings.listen).await?;
         let peers = bind(&net, "peer-listen", settings.peer_listen).await?;
@@ -91,7 +91,7 @@
             header_timeout: settings.body_timeout,
             ..ServerLimits::default()
         };
-        let parts = Parts {
+        let parts = NodeParts {
             settings: Arc::new(settings),
             net,
             spawner: spawner.clone(),
@@ -151,10 +151,10 @@
     pub async fn stop(&self) {
         self.control.send(Command::Stop).await;
         while self.snapshot.load().admission != Admission::Stopping {
-            tokio::time::sleep(IDLE_CHECK).await;
+            tokio::time::sleep(IDLE_CHECK_INTERVAL).await;
         }
         while !self.live.is_empty() {
-            tokio::time::sleep(IDLE_CHECK).await;
+            tokio::time::sleep(IDLE_CHECK_INTERVAL).await;
         }
         tracing::info!("node: {} stopped", self.name);
     }
@@ -165,7 +165,7 @@
     }
 }
 
-struct Parts<N> {
+struct NodeParts<N> {
     settings: Arc<Settings>,
     net: N,
     spawner: Spawner,
@@ -175,13 +175,13 @@
     metrics: Metrics,
 }
 
-impl<N: Network> Parts<N> {
+impl<N: Network> NodeParts<N> {
     fn store(&self, http: HttpClient<N>) -> HttpStore<N> {
         HttpStore::new(http, self.settings.store, self.settings.store_timeout)
     }
 
     fn spawn_control(&self, peer_addr: SocketAddr, burn: Arc<BurnRecorder>) -> ControlHandle {
-        let (tx, rx) = mpsc::channel(MAX_COMMANDS);
+        let (tx, rx) = mpsc::channel(COMMAND_QUEUE_CAPACITY);
         let http = HttpClient::new(self.net.clone(), self.control_spawner.clone());
         let control = Control::new(ControlParts {
             settings: Arc::clone(&self.settings),
--- a/crates/azuresaddle-node/src/snapshot.rs
+++ b/crates/azuresaddle-node/src/snapshot.rs
@@ -28,7 +28,7 @@
     /// Owners of pools.
     pub owners: Arc<HashMap<PoolId, OwnerRecord>>,
     /// Digests of pools.
-    pub digests: Arc<Vec<SeenDigest>>,
+    pub digests: Arc<Vec<ReceivedDigest>>,
     /// Whether new requests are taken.
     pub admission: Admission,
     /// Whether the store answered lately.
@@ -39,11 +39,11 @@
 
 /// A digest with the time it came.
 #[derive(Clone, Debug)]
-pub struct SeenDigest {
+pub struct ReceivedDigest {
     /// The digest.
     pub digest: PoolDigest,
     /// When it came.
-    pub seen: Instant,
+    pub received_at: Instant,
 }
 
 /// Whether a node takes new requests.
@@ -54,7 +54,7 @@
     /// No rules are known yet.
     NoRules,
     /// Neither the store nor a majority of the nodes can be reached, so the rules may be old.
-    CutOff,
+    Partitioned,
     /// The node is about to stop and its address is no longer given out.
     Stopping,
 }
@@ -161,13 +161,13 @@
             }
         }
         for ((model, domain), hosts) in groups {
-            index.add_group(&model, &domain, hosts);
+            index.add_engines(&model, &domain, hosts);
         }
         index
     }
 
     /// Splits the engines of one model in one failure domain into pools.
-    fn add_group(&mut self, model: &Model, domain: &FailureDomain, hosts: Vec<Host>) {
+    fn add_engines(&mut self, model: &Model, domain: &FailureDomain, hosts: Vec<Host>) {
         let shards = hosts.len().div_ceil(MAX_POOL_TARGETS) as u16;
         for host in hosts {
             let HostKind::Engine { memory_tokens, .. } = host.kind else {
@@ -176,7 +176,7 @@
             let pool = PoolId {
                 model: model.clone(),
                 domain: domain.clone(),
-                shard: best_shard(&host.name, shards),
+                shard: shard_of(&host.name, shards),
             };
             self.pools
                 .entry(pool.clone())
@@ -208,7 +208,7 @@
 }
 
 /// Rendezvous hashing keeps most targets where they are when the number of shards changes.
-fn best_shard(name: &HostName, shards: u16) -> u16 {
+fn shard_of(name: &HostName, shards: u16) -> u16 {
     let score = |shard: &u16| xxh3_64_with_seed(name.as_str().as_bytes(), u64::from(*shard));
     (0..shards).max_by_key(score).unwrap_or(0)
 }
--- a/crates/azuresaddle-node/src/traffic/relay.rs
+++ b/crates/azuresaddle-node/src/traffic/relay.rs
@@ -10,7 +10,7 @@
 use super::sink::CallerSink;
 use super::state::Traffic;
 use crate::engine::wire::TokenEvent;
-use crate::engine::{EngineFailure, EngineStream};
+use crate::engine::{EngineError, EngineStream};
 use crate::peer::{Report, ReportKind};
 
 /// Maximum number of consecutive reconnects without a new token before the target counts as failed.
@@ -126,8 +126,8 @@
         let engines = &self.traffic.engines;
         match engines.resume(*lead, stream, next, own, false).await {
             Ok(events) => Ok(Ok(events)),
-            Err(EngineFailure::Displaced) => Err(RelayError::Displaced),
-            Err(e @ EngineFailure::UnknownStream) => Err(RelayError::TargetFailed(e.to_string())),
+            Err(EngineError::Displaced) => Err(RelayEnd::Displaced),
+            Err(e @ EngineError::UnknownStream) => Err(RelayEnd::Target(e.to_string())),
             Err(e) => Ok(Err(e.to_string())),
         }
     }
--- a/crates/azuresaddle-node/src/traffic/reserve.rs
+++ b/crates/azuresaddle-node/src/traffic/reserve.rs
@@ -57,7 +57,7 @@
             .digests
             .iter()
             .filter(|seen| seen.digest.pool.model == job.model)
-            .map(|seen| (&seen.digest, now - seen.seen));
+            .map(|received| (&received.digest, now - received.received_at));
         let chosen = choose_pool(digests, &self.settings.domain, job.then.pool, memory);
         if let Some(pool) = chosen {
             return Ok(pool.clone());
--- a/crates/azuresaddle-node/src/traffic/run_job.rs
+++ b/crates/azuresaddle-node/src/traffic/run_job.rs
@@ -11,7 +11,7 @@
 use super::reserve::Placement;
 use super::sink::CallerSink;
 use super::state::Traffic;
-use crate::engine::EngineFailure;
+use crate::engine::EngineError;
 use crate::peer::{Report, ReportKind};
 
 /// Maximum number of attempts for one request.
@@ -110,8 +110,8 @@
                 progress.may_have_run = ran_before;
                 self.report(placement, report_kind(&e, placement));
                 return Err(match e {
-                    EngineFailure::Refused(_) => RelayError::TargetRefused(e.to_string()),
-                    _ => RelayError::TargetFailed(e.to_string()),
+                    EngineError::Refused(_) => RelayEnd::Refused(e.to_string()),
+                    _ => RelayEnd::Target(e.to_string()),
                 });
             }
             // The start order may have arrived: the relay then reads the stream that it started
@@ -156,16 +156,15 @@
     }
 }
 
-/// What to report to the owner about a start order that was not run.
-fn report_kind(e: &EngineFailure, placement: &Placement) -> ReportKind {
-    // With several targets, the others may still hold memory for the stream, so only the refusal by
-    // a single target is reported as the end; otherwise the owner has to cancel the stream.
+/// What the owner has to know of an order that was not run.
+fn report_of(e: &EngineError, placement: &Placement) -> ReportKind {
+    // Lent memory may be held by the other targets, so only a single target's refusal is final.
     match e {
-        EngineFailure::Refused(_) if placement.targets.len() == 1 => {
+        EngineError::Refused(_) if placement.targets.len() == 1 => {
             ReportKind::Ended(Outcome::TargetRefused)
         }
         _ => ReportKind::Abandoned {
-            target_failed: matches!(e, EngineFailure::Unreachable(_)),
+            target_failed: matches!(e, EngineError::Unreachable(_)),
         },
     }
 }
@@ -189,7 +188,7 @@
                     target_failed: false,
                 },
             }),
-            _live: traffic.live_streams.enter(stream, pool),
+            _live: traffic.live.register(stream, pool),
         }
     }
 
--- a/crates/azuresaddle-node/src/traffic/start_stream.rs
+++ b/crates/azuresaddle-node/src/traffic/start_stream.rs
@@ -6,8 +6,8 @@
 use super::job::Job;
 use super::reserve::Placement;
 use super::state::Traffic;
-use crate::engine::wire::{Fence, Lend, Start};
-use crate::engine::{EngineFailure, EngineStream};
+use crate::engine::wire::{FencingToken, LendRequest, StartRequest};
+use crate::engine::{EngineError, EngineStream};
 
 impl<N: Network> Traffic<N> {
     /// Holds memory on the other reserved targets, then starts the stream on the lead target.
@@ -18,15 +18,15 @@
         job: &Job,
         placement: &Placement,
         prior: &[String],
-    ) -> Result<EngineStream, EngineFailure> {
-        let Some(((_, lead), others)) = placement.targets.split_first() else {
-            return Err(EngineFailure::Refused("no target was reserved".to_owned()));
+    ) -> Result<EngineStream, EngineError> {
+        let Some(((_, leader), others)) = placement.targets.split_first() else {
+            return Err(EngineError::Refused("no target was reserved".to_owned()));
         };
-        let fence = Fence {
+        let fence = FencingToken {
             pool: placement.pool.to_string(),
             epoch: placement.epoch,
         };
-        let lend = Lend {
+        let lend = LendRequest {
             stream: placement.stream,
             node: self.settings.name.clone(),
             account: job.account.clone(),
@@ -39,8 +39,8 @@
         // Holding memory does not start the request, so after a failure here it has not run.
         try_join_all(lends)
             .await
-            .map_err(|e| EngineFailure::Refused(e.to_string()))?;
-        let start = Start {
+            .map_err(|e| EngineError::Refused(e.to_string()))?;
+        let start = StartRequest {
             stream: placement.stream,
             node: self.settings.name.clone(),
             account: job.account.clone(),
--- a/crates/azuresaddle-standin/src/engine/model.rs
+++ b/crates/azuresaddle-standin/src/engine/model.rs
@@ -5,7 +5,7 @@
 
 use azuresaddle_core::prelude::*;
 use azuresaddle_core::prompt::{prefix_hashes, prompt_tokens};
-use azuresaddle_node::engine::wire::{Fence, Lend, Start};
+use azuresaddle_node::engine::wire::{FencingToken, LendRequest, StartRequest};
 use azuresaddle_sched::LiveStream;
 use tokio::time::Instant;
 
@@ -38,7 +38,7 @@
 pub(super) struct EngineModel {
     pub(super) options: EngineOptions,
     pub(super) streams: BTreeMap<StreamId, Stream>,
-    lends: BTreeMap<StreamId, Lend>,
+    lends: BTreeMap<StreamId, LendRequest>,
     fences: HashMap<String, Epoch>,
     pub(super) cache: PrefixCache,
     /// How often the prefill of each prompt began, by the prompt's digest.
@@ -86,7 +86,7 @@
         streams.chain(lends).collect()
     }
 
-    pub(super) fn check_fence(&mut self, fence: &Fence) -> Result<(), Rejection> {
+    pub(super) fn check_fence(&mut self, fence: &FencingToken) -> Result<(), Rejection> {
         if !self.options.checks_fencing {
             return Ok(());
         }
@@ -98,7 +98,7 @@
         Ok(())
     }
 
-    pub(super) fn lend(&mut self, lend: Lend) -> Result<(), Rejection> {
+    pub(super) fn lend(&mut self, lend: LendRequest) -> Result<(), Rejection> {
         self.check_fence(&lend.fence)?;
         if self.lends.contains_key(&lend.stream) {
             return Ok(());
@@ -109,7 +109,7 @@
     }
 
     /// Queues a stream; returns the number of its reader.
-    pub(super) fn start(&mut self, start: Start) -> Result<u64, Rejection> {
+    pub(super) fn start(&mut self, start: StartRequest) -> Result<u64, Rejection> {
         self.check_fence(&start.fence)?;
         if self.streams.contains_key(&start.stream) {
             return Err(Rejection::Duplicate);
--- a/crates/azuresaddle-standin/src/engine/server.rs
+++ b/crates/azuresaddle-standin/src/engine/server.rs
@@ -8,8 +8,9 @@
 use azuresaddle_core::http::{Body, Handler, ServerLimits, json, problem, serve};
 use azuresaddle_core::prelude::*;
 use azuresaddle_node::engine::wire::{
-    CacheChanges, CacheListing, Fence, Gone, Lend, LoadReport, Start, StreamList, TITLE_DISPLACED,
-    TITLE_DUPLICATE, TITLE_FENCED, TITLE_NO_MEMORY, TITLE_UNKNOWN,
+    CacheChanges, CacheListing, FencingToken, GoneReply, LendRequest, LoadReport, StartRequest,
+    StreamList, TITLE_DISPLACED, TITLE_DUPLICATE, TITLE_FENCED, TITLE_NO_MEMORY,
+    TITLE_UNKNOWN_STREAM,
 };
 use bytes::Bytes;
 use http_body_util::{BodyExt, StreamBody};
@@ -167,7 +168,7 @@
         let shared = &self.shared;
         match (&method, segments.as_slice()) {
             (&Method::POST, ["v1", "streams"]) => {
-                let start: Start = read(req).await?;
+                let start: StartRequest = read(req).await?;
                 let (id, first) = (start.stream, start.prior.len() as u64);
                 let reader = shared.model().start(start).map_err(rejected)?;
                 shared.queued.notify_waiters();
@@ -185,9 +186,9 @@
             }
             (&Method::DELETE, ["v1", "streams", id]) => self.cancel(&req, stream_id(id)?).await,
             (&Method::POST, ["v1", "lends"]) => {
-                let lend: Lend = read(req).await?;
+                let lend: LendRequest = read(req).await?;
                 shared.model().lend(lend).map_err(rejected)?;
-                Ok(json(StatusCode::OK, &Gone { gone: false }))
+                Ok(json(StatusCode::OK, &GoneReply { gone: false }))
             }
             (&Method::GET, ["v1", "streams"]) => {
                 let list = StreamList {
@@ -233,7 +234,7 @@
         if lost {
             std::future::pending::<()>().await;
         }
-        let fence = Fence {
+        let fence = FencingToken {
             pool: query(req, "pool").unwrap_or_default(),
             epoch: Epoch(
                 query(req, "epoch")
@@ -246,7 +247,7 @@
         model.cancel(id);
         drop(model);
         self.shared.cancelled.notify_waiters();
-        Ok(json(StatusCode::OK, &Gone { gone: true }))
+        Ok(json(StatusCode::OK, &GoneReply { gone: true }))
     }
 
     /// Streams the events of one stream to one reader.
@@ -287,7 +288,11 @@
         ),
         Rejection::Duplicate => (StatusCode::CONFLICT, TITLE_DUPLICATE, Verdict::MayHaveRun),
         Rejection::Displaced => (StatusCode::CONFLICT, TITLE_DISPLACED, Verdict::MayHaveRun),
-        Rejection::Unknown => (StatusCode::NOT_FOUND, TITLE_UNKNOWN, Verdict::MayHaveRun),
+        Rejection::Unknown => (
+            StatusCode::NOT_FOUND,
+            TITLE_UNKNOWN_STREAM,
+            Verdict::MayHaveRun,
+        ),
     };
     Problem::not_run(status, title, title).verdict(verdict)
 }
