--- a/crates/azuresaddle-node/src/control/actor.rs
+++ b/crates/azuresaddle-node/src/control/actor.rs
@@ -24,33 +24,34 @@
 use crate::settings::Settings;
 use crate::snapshot::{Admission, HostIndex, ReceivedDigest, SharedSnapshot, Snapshot};
 
-/// Interval of housekeeping.
+/// Interval of the periodic work in [`Control::on_tick`].
 const TICK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Silence of the store after which it counts as unreachable; a watch returns every two seconds.
+/// Time without a reply after which the store counts as unreachable. A watch returns at least every
+/// two seconds.
 const STORE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// What control works with.
+/// Settings, clients and shared state of the control task.
 pub struct ControlParts<N> {
     /// Settings of the node.
     pub settings: Arc<Settings>,
-    /// Bound address for other nodes.
+    /// Address on which this node accepts other nodes.
     pub peer_addr: std::net::SocketAddr,
-    /// HTTP client on the control thread.
+    /// HTTP client for engines and the host list.
     pub http: HttpClient<N>,
     /// Connections to other nodes.
     pub peers: PeerClients<N>,
-    /// The key-value service.
+    /// Client of the key-value store.
     pub store: HttpStore<N>,
-    /// Tasks on the control thread.
+    /// Spawns tasks on the control thread.
     pub spawner: Spawner,
-    /// Attempts of this node.
+    /// Attempts that this node waits for or relays.
     pub live: LiveStreams,
     /// Where snapshots are published.
     pub snapshot: SharedSnapshot,
-    /// Queue of commands to itself.
+    /// Sender of the task's own command queue, for the tasks that it spawns.
     pub tx: mpsc::Sender<Command>,
-    /// Metrics.
+    /// Sends metrics.
     pub metrics: Metrics,
 }
 
@@ -79,7 +80,7 @@
 }
 
 impl<N: Network> Control<N> {
-    /// Control state before anything is known.
+    /// Creates the state without any hosts, rules or pools.
     pub fn new(parts: ControlParts<N>) -> Self {
         let engines = EngineClient::new(parts.http.clone(), parts.settings.target_timeout);
         Self {
@@ -106,7 +107,7 @@
         }
     }
 
-    /// Runs until the queue of commands is closed.
+    /// Runs until the command queue is closed.
     pub async fn run(mut self, mut rx: mpsc::Receiver<Command>) {
         self.spawn_host_list_reader();
         self.spawn_store_watch();
@@ -179,13 +180,13 @@
         self.publish(now);
     }
 
-    /// Whether the store answered lately.
+    /// Whether the store has replied within [`STORE_TIMEOUT`].
     pub(super) fn store_reachable(&self, now: Instant) -> bool {
         self.store_last_seen
             .is_some_and(|at| now - at <= STORE_TIMEOUT)
     }
 
-    /// Sends a command to itself from a task.
+    /// Spawns a task whose result, if any, is sent to this task as a command.
     pub(super) fn spawn_command<F>(&self, future: F)
     where
         F: Future<Output = Option<Command>> + Send + 'static,
@@ -198,7 +199,7 @@
         });
     }
 
-    /// Nodes of the last known list, this one included.
+    /// Number of nodes in the latest host list, this one included; at least 1.
     pub(super) fn node_count(&self) -> usize {
         self.hosts.entries.len().max(1)
     }
@@ -221,13 +222,13 @@
             return;
         }
         if self.stopping_since.is_none() {
-            tracing::info!("node: stopping, address no longer given out");
+            tracing::info!("node: stopping, address no longer returned to callers");
             self.stopping_since = Some(now);
         }
     }
 
     fn admission(&self, now: Instant) -> Admission {
-        // Callers may hold the address for its time to live after it was last given out.
+        // Callers may use the address for its time to live after it was last returned to them.
         let held = self.parts.settings.address_ttl + STOP_PROPAGATION_DELAY;
         if self.stopping_since.is_some_and(|since| now - since > held) {
             return Admission::Stopping;
@@ -241,13 +242,13 @@
         Admission::Open
     }
 
-    /// Whether more than half of the nodes, this one included, showed signs of life lately.
+    /// Whether more than half of the nodes, this one included, are alive.
     pub(super) fn reaches_majority(&self, now: Instant) -> bool {
         let alive = self.peers.values().filter(|p| p.is_alive(now)).count() + 1;
         alive * 2 > self.node_count()
     }
 
-    /// Publishes a snapshot of what traffic needs.
+    /// Publishes the current state to the traffic threads.
     fn publish(&self, now: Instant) {
         let present = self.parts.snapshot.load();
         let mut digests: Vec<_> = self.digests.values().map(|(d, _)| d.clone()).collect();
@@ -288,7 +289,7 @@
     }
 }
 
-/// Time for other nodes to learn that this one stops.
+/// Time for all other nodes to learn that this one is stopping.
 const STOP_PROPAGATION_DELAY: Duration = Duration::from_secs(2);
 
 async fn sleep_until(at: Option<Instant>) {
--- a/crates/azuresaddle-node/src/control/cancel.rs
+++ b/crates/azuresaddle-node/src/control/cancel.rs
@@ -1,4 +1,4 @@
-//! Cancels streams until their targets confirm it.
+//! Cancels streams, with retries until their targets confirm it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,18 +13,19 @@
 use crate::engine::EngineClient;
 use crate::engine::wire::FencingToken;
 
-/// First pause between orders to cancel.
+/// Delay before the first retry of a cancellation; it doubles with each retry.
 const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Longest pause between orders to cancel.
+/// Maximum delay between retries of a cancellation.
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(5);
 
-/// Orders to cancel before the task ends; the claim timeout starts another.
+/// Maximum number of cancel calls to a target in one task; a new task starts after
+/// `ORPHAN_TIMEOUT`.
 const MAX_ATTEMPTS: u32 = 20;
 
 impl<N: Network> Control<N> {
-    /// Cancels an attempt on all its targets; the reservation ends with the outcome once they
-    /// confirm it.
+    /// Cancels an attempt on all its targets; once they confirm it, the reservation ends with the
+    /// given outcome.
     pub(super) fn begin_cancel(
         &mut self,
         now: Instant,
@@ -95,7 +96,7 @@
     }
 }
 
-/// Orders a target to cancel until it confirms; false where it never did.
+/// Repeats the cancel call until the target confirms it; false if it does not.
 async fn cancel_on_target<N: Network>(
     client: &EngineClient<N>,
     addr: SocketAddr,
--- a/crates/azuresaddle-node/src/control/command.rs
+++ b/crates/azuresaddle-node/src/control/command.rs
@@ -1,4 +1,4 @@
-//! What control is asked to do.
+//! Messages to the control task.
 
 use azuresaddle_core::host_list::HostList;
 use azuresaddle_core::prelude::*;
@@ -13,50 +13,50 @@
 /// A message to the control task.
 #[derive(Debug)]
 pub enum Command {
-    /// A node asks for a reservation.
+    /// A node requests a reservation.
     Reserve(Box<ReserveRequest>, oneshot::Sender<ReserveReply>),
-    /// This node's traffic asks for a placement without an owner.
+    /// This node requests a placement for a pool without a reachable owner.
     Fallback(Box<ReserveRequest>, oneshot::Sender<ReserveReply>),
-    /// Nodes report what happened to attempts.
+    /// A node reports events of attempts.
     Reports(Vec<Report>),
-    /// A node relays what another began.
+    /// A node now relays an answer that another node started.
     TakeOver(TakeOver),
-    /// Another node shows a sign of life.
+    /// Another node sent a heartbeat.
     Heartbeat(Heartbeat, oneshot::Sender<HeartbeatReply>),
-    /// Another node answered this node's heartbeat.
+    /// Another node replied to this node's heartbeat.
     HeartbeatAnswered(HostName, HeartbeatReply),
     /// The host list was read.
     Hosts(HostList),
     /// The store's watch returned.
     StoreChanges(Changes),
-    /// Another node gave its rules.
+    /// Rules fetched from another node; the default record if the fetch failed.
     Rules(Box<RulesRecord>),
-    /// The lease was granted or renewed by a call sent at that time.
+    /// The lease was granted or renewed; the time is when the call was sent.
     LeaseHeld(LeaseId, Instant),
-    /// The lease has lapsed in the store.
+    /// The lease has expired in the store.
     LeaseExpired(LeaseId),
-    /// An attempt to own a pool ended.
+    /// Result of acquiring a pool: its current owner record.
     Acquired(PoolId, Result<OwnerRecord, StoreError>),
-    /// An attempt to hand a pool over ended.
+    /// Result of releasing a pool; true if the store has recorded it.
     HandedOver(PoolId, bool),
-    /// A target answered a poll, or did not.
+    /// Result of a load poll of a target; `None` if it did not answer.
     Load(HostName, Option<LoadReport>),
-    /// A target listed its streams at that time.
+    /// Streams listed by a target; the time is when the call was sent.
     StreamListing(HostName, StreamList, Instant),
-    /// A target listed its prefix cache.
+    /// Full listing of a target's prefix cache.
     CacheListing(HostName, CacheListing),
-    /// A target's cache events.
+    /// Events of a target's prefix cache, in order.
     CacheEvents(HostName, Vec<azuresaddle_sched::CacheEvent>),
-    /// A stream is known to be gone from its targets.
+    /// All targets confirmed that they hold nothing for a cancelled stream.
     CancelConfirmed(PoolId, StreamId, Outcome),
-    /// No target confirmed that a stream is gone.
+    /// Some target has not confirmed the cancellation of a stream.
     CancelUnconfirmed(PoolId, StreamId),
-    /// The process was told to stop.
+    /// The process was requested to stop.
     Stop,
 }
 
 impl Command {
-    /// Whether traffic has to know of the change at once; other changes wait for the next tick.
+    /// Whether a new snapshot must be published at once; other changes wait for the next tick.
     pub(super) fn needs_immediate_publish(&self) -> bool {
         !matches!(
             self,
--- a/crates/azuresaddle-node/src/control/handle.rs
+++ b/crates/azuresaddle-node/src/control/handle.rs
@@ -1,4 +1,4 @@
-//! Access to control for traffic and for other nodes.
+//! Handle for sending commands to the control task.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 use crate::peer::{Heartbeat, HeartbeatReply, Report, ReserveReply, ReserveRequest, TakeOver};
 use crate::snapshot::SharedSnapshot;
 
-/// Sends commands to control; cheap to clone.
+/// Sends commands to the control task; cheap to clone.
 #[derive(Clone)]
 pub struct ControlHandle {
     tx: mpsc::Sender<Command>,
@@ -20,7 +20,7 @@
 }
 
 impl ControlHandle {
-    /// A handle on a control task's queue.
+    /// Creates a handle on the queue of a control task.
     pub fn new(
         tx: mpsc::Sender<Command>,
         snapshot: SharedSnapshot,
@@ -29,31 +29,33 @@
         Self { tx, snapshot, burn }
     }
 
-    /// Asks for a reservation in an owned pool; waits a bounded time.
+    /// Requests a reservation in a pool that this node owns.
+    ///
+    /// Returns [`ReserveReply::Pending`] if there is no decision within a bounded time.
     pub async fn reserve(&self, req: ReserveRequest) -> ReserveReply {
         let (tx, rx) = oneshot::channel();
         self.send(Command::Reserve(Box::new(req), tx)).await;
         rx.await.unwrap_or(ReserveReply::NotOwner)
     }
 
-    /// Asks for a placement without an owner.
+    /// Requests a placement for a pool without a reachable owner.
     pub async fn fallback(&self, req: ReserveRequest) -> ReserveReply {
         let (tx, rx) = oneshot::channel();
         self.send(Command::Fallback(Box::new(req), tx)).await;
         rx.await.unwrap_or(ReserveReply::NotOwner)
     }
 
-    /// Reports what happened to attempts.
+    /// Reports events of attempts.
     pub async fn report(&self, reports: Vec<Report>) {
         self.send(Command::Reports(reports)).await;
     }
 
-    /// Tells that a node relays what another began.
+    /// Reports that a node now relays an answer that another node started.
     pub async fn take_over(&self, take_over: TakeOver) {
         self.send(Command::TakeOver(take_over)).await;
     }
 
-    /// Answers a heartbeat.
+    /// Processes a heartbeat of another node and returns the reply.
     pub async fn heartbeat(&self, heartbeat: Heartbeat) -> HeartbeatReply {
         let (tx, rx) = oneshot::channel();
         self.send(Command::Heartbeat(heartbeat, tx)).await;
@@ -71,14 +73,14 @@
         serde_json::to_string(rules).expect("a record serializes")
     }
 
-    /// Service-level counts of this node.
+    /// Counts for the service-level objectives on this node.
     pub fn burn_counts(&self) -> BurnCounts {
         self.burn.counts(Instant::now())
     }
 
     /// Queues a command; waits while the queue is full.
     pub async fn send(&self, command: Command) {
-        // A control task that has ended belongs to a process that is ending.
+        // Fails only while the process is ending, as the control task runs until then.
         let _ = self.tx.send(command).await;
     }
 }
--- a/crates/azuresaddle-node/src/control/heartbeats.rs
+++ b/crates/azuresaddle-node/src/control/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Signs of life between nodes.
+//! Heartbeats between nodes.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 /// Interval of heartbeats to each other node.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Longest wait for an answer.
+/// Maximum wait for the reply to a heartbeat.
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl<N: Network> Control<N> {
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Claims the attempts of this node in its own pools.
+    /// Marks this node's attempts in its own pools as in use.
     fn mark_own_streams_in_use(&mut self, now: Instant) {
         let owned = &self.owned;
         let streams = self.parts.live.list(|pool| owned.contains_key(pool));
--- a/crates/azuresaddle-node/src/control/hosts.rs
+++ b/crates/azuresaddle-node/src/control/hosts.rs
@@ -1,4 +1,4 @@
-//! The platform's host list.
+//! Reads the platform's host list and applies it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 use crate::host_client::read_host_list;
 use crate::snapshot::HostIndex;
 
-/// Pause between reads of the host list.
+/// Delay between reads of the host list.
 const READ_INTERVAL: Duration = Duration::from_secs(1);
 
 impl<N: Network> Control<N> {
@@ -31,7 +31,7 @@
                     }
                     Err(e) if was_reachable => {
                         was_reachable = false;
-                        tracing::warn!("hosts: list unreadable: {e}");
+                        tracing::warn!("hosts: reading the host list failed: {e}");
                     }
                     Err(_) => {}
                 }
--- a/crates/azuresaddle-node/src/control/lease.rs
+++ b/crates/azuresaddle-node/src/control/lease.rs
@@ -1,4 +1,4 @@
-//! The node's lease in the store; all its pools are owned under this one.
+//! The node's lease in the store, to which the ownership of all its pools is bound.
 
 use std::time::Duration;
 
@@ -9,17 +9,18 @@
 use super::actor::Control;
 use super::command::Command;
 
-/// Part of the time to live that is given up for clocks that run at different rates.
+/// The holder stops using the lease when 1/6 of its time to live is left, since clocks run at
+/// different rates.
 const CLOCK_DRIFT_DIVISOR: u32 = 6;
 
-/// Renewals within one time to live.
+/// Number of renewals within one time to live.
 const RENEWALS_PER_TTL: u32 = 3;
 
-/// A lease as its holder sees it.
+/// A lease held by this node.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct HeldLease {
     pub(super) id: LeaseId,
-    /// Until when the holder may act on it, by its own clock.
+    /// When this node must stop acting on the lease, by its own clock.
     pub(super) valid_until: Instant,
 }
 
@@ -31,7 +32,8 @@
         self.parts.spawner.spawn(async move {
             let mut held: Option<LeaseId> = None;
             loop {
-                // The time to live counts from before the call, as the call's delay is unknown.
+                // The time to live is counted from before the call, since it is unknown when the
+                // store handled it.
                 let sent = Instant::now();
                 let result = match held {
                     Some(lease) => store.renew_lease(lease).await.map(|()| lease),
@@ -66,15 +68,15 @@
 
     pub(super) fn on_lease_expired(&mut self, id: LeaseId) {
         if self.lease.is_some_and(|lease| lease.id == id) {
-            tracing::warn!("owner: lease lapsed");
+            tracing::warn!("owner: lease expired");
             self.lease = None;
         }
     }
 
-    /// Whether this node may decide in the pools it owns.
+    /// Whether this node may make decisions in the pools it owns.
     ///
-    /// Without a valid lease it may only while ownership can't move: when a majority of the nodes
-    /// can't reach the store either.
+    /// Without a valid lease it may only do so while a majority of the nodes, this one included,
+    /// can't reach the store, since ownership can't move then.
     pub(super) fn may_decide(&self, now: Instant) -> bool {
         if self.lease.is_some_and(|lease| now < lease.valid_until) {
             return true;
@@ -91,7 +93,7 @@
     }
 }
 
-/// A duration up to a tenth shorter, so that nodes do not renew in step.
+/// Shortens a duration by up to a tenth at random, so that nodes do not renew simultaneously.
 fn jittered(duration: Duration) -> Duration {
     duration.mul_f64(1.0 - 0.1 * rand::random::<f64>())
 }
--- a/crates/azuresaddle-node/src/control/live_streams.rs
+++ b/crates/azuresaddle-node/src/control/live_streams.rs
@@ -5,7 +5,7 @@
 
 use azuresaddle_core::prelude::*;
 
-/// Shared between traffic, which adds and removes, and heartbeats, which list.
+/// Set of live attempts with their pools; traffic updates it and heartbeats list it.
 #[derive(Clone, Debug, Default)]
 pub struct LiveStreams {
     streams: Arc<Mutex<HashMap<StreamId, PoolId>>>,
@@ -21,7 +21,7 @@
         }
     }
 
-    /// Attempts in the pools that `is_wanted` picks.
+    /// Lists the attempts in the pools for which `is_wanted` returns true.
     pub fn list(&self, is_wanted: impl Fn(&PoolId) -> bool) -> Vec<StreamId> {
         let streams = self.lock();
         let wanted = streams.iter().filter(|(_, pool)| is_wanted(pool));
@@ -33,7 +33,7 @@
         self.lock().len()
     }
 
-    /// Whether there is none.
+    /// Whether there are no attempts.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/crates/azuresaddle-node/src/control/mod.rs
+++ b/crates/azuresaddle-node/src/control/mod.rs
@@ -1,4 +1,4 @@
-//! Control state of a node: one task that alone changes it.
+//! Control state of a node, changed by a single task.
 
 mod actor;
 mod cancel;
--- a/crates/azuresaddle-node/src/control/owned_pool.rs
+++ b/crates/azuresaddle-node/src/control/owned_pool.rs
@@ -10,31 +10,31 @@
 
 use crate::peer::ReserveReply;
 
-/// Time for the targets of a newly owned pool to list their streams.
+/// Time within which the targets of a newly acquired pool are expected to list their streams.
 const LISTING_GRACE: Duration = Duration::from_secs(2);
 
-/// A pool with the requests of other nodes that wait for its decisions.
+/// The scheduler of a pool, with the calls and attempts that depend on it.
 #[derive(Debug)]
 pub(super) struct OwnedPool {
     pub(super) pool: Pool,
     pub(super) epoch: Epoch,
     /// Calls that wait for a decision.
     pub(super) waiters: HashMap<StreamId, Waiter>,
-    /// Grants in force, for nodes that ask again since an answer was lost.
+    /// Current grants, for nodes that repeat a call because its reply was lost.
     pub(super) grants: HashMap<StreamId, Grant>,
-    /// Refusals that no call was waiting for.
+    /// Refusals that no call was waiting for, with their time.
     pub(super) refusals: HashMap<StreamId, (Refusal, Instant)>,
-    /// When a node last said that it waits for or relays an attempt.
+    /// When a node last reported that it waits for or relays an attempt.
     pub(super) last_in_use: HashMap<StreamId, Instant>,
-    /// Attempts that are being cancelled on their targets.
+    /// Attempts that are being cancelled on their targets, with the start of the cancellation.
     pub(super) cancelling: HashMap<StreamId, Instant>,
-    /// Targets whose streams were listed since this node owns the pool.
+    /// When each target last listed its streams to this owner; targets that have not are absent.
     pub(super) listed: HashMap<HostName, Instant>,
-    /// Position in the cache events of each target.
+    /// Sequence number of the last cache event applied for each target.
     pub(super) cache_sequences: HashMap<HostName, u64>,
-    /// Since when this node owns the pool.
+    /// When this node acquired the pool.
     pub(super) since: Instant,
-    /// The pool is being handed over and decides nothing more.
+    /// Whether the pool is being handed over; it makes no decisions meanwhile.
     pub(super) handing_over: bool,
 }
 
@@ -62,20 +62,21 @@
         }
     }
 
-    /// Whether the ledger is complete: every target was listed, or had its time to answer.
+    /// Whether the ledger counts as complete: every target has listed its streams, or
+    /// [`LISTING_GRACE`] has passed.
     pub(super) fn is_ready(&self, now: Instant) -> bool {
         let mut names = self.pool.target_names();
         now - self.since > LISTING_GRACE || names.all(|name| self.listed.contains_key(name))
     }
 
-    /// Answers every waiting call that this node decides no more.
+    /// Replies to every waiting call that this node does not own the pool.
     pub(super) fn reply_not_owner(&mut self) {
         for (_, waiter) in self.waiters.drain() {
             let _ = waiter.reply.send(ReserveReply::NotOwner);
         }
     }
 
-    /// Forgets an attempt that has ended.
+    /// Removes an attempt that has ended.
     pub(super) fn forget(&mut self, stream: StreamId) {
         self.grants.remove(&stream);
         self.last_in_use.remove(&stream);
--- a/crates/azuresaddle-node/src/control/ownership.rs
+++ b/crates/azuresaddle-node/src/control/ownership.rs
@@ -1,4 +1,4 @@
-//! Which pools this node owns.
+//! Acquires, keeps and hands over the ownership of pools.
 
 use std::time::Duration;
 
@@ -12,14 +12,14 @@
 use super::command::Command;
 use super::owned_pool::OwnedPool;
 
-/// Head start of each candidate over the next one.
+/// Delay between the attempts of successive candidates to acquire a pool.
 const RANK_DELAY: Duration = Duration::from_secs(1);
 
-/// Time after the start in which a node learns of the others before it seeks pools.
+/// Time after the start in which a node learns of the other nodes before it acquires pools.
 const STARTUP_DELAY: Duration = Duration::from_millis(1500);
 
 impl<N: Network> Control<N> {
-    /// Takes a record of the store; one with a lower epoch is old news.
+    /// Applies an owner record from the store; one with an outdated epoch is ignored.
     pub(super) fn apply_owner(&mut self, now: Instant, record: OwnerRecord) {
         let known = self.owners.get(&record.pool);
         if known.is_some_and(|k| k.epoch > record.epoch) {
@@ -37,7 +37,7 @@
         self.owners.insert(record.pool.clone(), record);
     }
 
-    /// Starts attempts to own pools that have no living owner.
+    /// Starts to acquire pools that have no live owner.
     pub(super) fn acquire_ownerless_pools(&mut self, now: Instant) {
         self.drop_unlisted_pools();
         if self.stopping_since.is_some() {
@@ -72,7 +72,7 @@
         now >= ownerless_since + RANK_DELAY * rank
     }
 
-    /// Since when a pool seems to have no owner.
+    /// Since when a pool appears to have no live owner; `None` if it has one.
     fn ownerless_since(&self, now: Instant, record: Option<&OwnerRecord>) -> Option<Instant> {
         let startup_end = self.started + STARTUP_DELAY;
         let Some(record) = record else {
@@ -87,7 +87,8 @@
         }
     }
 
-    /// Position of this node among the candidates for a pool, those of its failure domain first.
+    /// Position of this node among the candidates for a pool, from 0; nodes in the pool's failure
+    /// domain come first.
     fn rank(&self, now: Instant, pool: &PoolId) -> u32 {
         let own = &self.parts.settings.name;
         let is_candidate = |name: &HostName| {
@@ -128,18 +129,18 @@
         self.acquiring.remove(&pool);
         match result {
             Ok(record) => self.apply_owner(now, record),
-            Err(e) => tracing::debug!("owner: pool {pool} not taken: {e}"),
+            Err(e) => tracing::debug!("owner: pool {pool} not acquired: {e}"),
         }
     }
 
     fn begin_owning(&mut self, now: Instant, record: &OwnerRecord) {
         if let Some(owned) = self.owned.get_mut(&record.pool) {
-            // The same node under a new lease: its ledger still holds.
+            // This node owned the pool under an earlier lease, so its ledger is still valid.
             owned.epoch = record.epoch;
             return;
         }
         tracing::info!(
-            "owner: owns pool {} with epoch {}",
+            "owner: acquired pool {} with epoch {}",
             record.pool,
             record.epoch
         );
@@ -157,12 +158,12 @@
 
     fn stop_owning(&mut self, pool: &PoolId) {
         if let Some(mut owned) = self.owned.remove(pool) {
-            tracing::info!("owner: pool {pool} has another owner");
+            tracing::info!("owner: no longer owns pool {pool}");
             owned.reply_not_owner();
         }
     }
 
-    /// Drops pools that the host list no longer has.
+    /// Drops owned pools that are no longer in the host list.
     fn drop_unlisted_pools(&mut self) {
         let hosts = &self.hosts;
         self.owned.retain(|pool, owned| {
@@ -198,7 +199,7 @@
         if done {
             self.stop_owning(pool);
         } else if let Some(owned) = self.owned.get_mut(pool) {
-            // The store did not take it; go on deciding and try again.
+            // The store has not recorded the release; keep scheduling and retry at the next tick.
             owned.handing_over = false;
         }
     }
--- a/crates/azuresaddle-node/src/control/peer_state.rs
+++ b/crates/azuresaddle-node/src/control/peer_state.rs
@@ -1,19 +1,19 @@
-//! What is known of another node.
+//! State of another node as this node sees it.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Silence after which a node counts as gone.
+/// Time without a heartbeat after which a node counts as failed.
 pub(super) const PEER_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Last signs of life of a node.
+/// Contents and time of the last heartbeat exchanged with a node.
 #[derive(Clone, Debug)]
 pub(super) struct PeerState {
     pub(super) last_seen: Option<Instant>,
     pub(super) store_reachable: bool,
     pub(super) stopping: bool,
-    /// When this node first heard of the other.
+    /// When the node first appeared in the host list.
     pub(super) known_since: Instant,
 }
 
@@ -31,7 +31,7 @@
         self.last_seen.is_some_and(|at| now - at <= PEER_TIMEOUT)
     }
 
-    /// Since when the node has been silent for too long.
+    /// When the node started to count as failed; `None` if it does not.
     pub(super) fn silent_since(&self, now: Instant) -> Option<Instant> {
         let last = self.last_seen.unwrap_or(self.known_since);
         (now - last > PEER_TIMEOUT).then_some(last + PEER_TIMEOUT)
--- a/crates/azuresaddle-node/src/control/reservations.rs
+++ b/crates/azuresaddle-node/src/control/reservations.rs
@@ -1,4 +1,4 @@
-//! Reservations: asked for by nodes, decided by the pool.
+//! Reservation requests of nodes and events of the reserved attempts.
 
 use std::time::Duration;
 
@@ -12,14 +12,14 @@
 use super::owned_pool::{OwnedPool, Waiter};
 use crate::peer::{Report, ReportKind, ReserveReply, ReserveRequest, TakeOver};
 
-/// Longest time that a call waits for a decision; the node then asks again.
+/// Maximum time that a call waits for a decision; the node then repeats the call.
 const MAX_CALL_WAIT: Duration = Duration::from_secs(2);
 
-/// Time without a sign of a node's interest after which its attempt is cancelled. A caller can go
-/// on with the answer through another node within this time.
+/// Time after which an attempt is cancelled if no node reports it as in use. Within this time, a
+/// caller can resume the answer through another node.
 const ORPHAN_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Time for which a refusal that nobody was waiting for is kept.
+/// Time for which a refusal is kept that no call was waiting for.
 const REFUSAL_RETENTION: Duration = Duration::from_secs(5);
 
 impl<N: Network> Control<N> {
@@ -44,7 +44,7 @@
         self.dispatch_all();
     }
 
-    /// Places a request of this node's traffic without an owner.
+    /// Places a request of this node for a pool without a reachable owner.
     pub(super) fn on_fallback(
         &mut self,
         req: ReserveRequest,
@@ -93,7 +93,7 @@
         };
         match kind {
             ReportKind::FirstToken => owned.pool.on_first_token(now, stream),
-            // Targets that lent memory to the leading one do not know of the end.
+            // Targets that lent memory to the first one are not informed of the end.
             ReportKind::Ended(outcome) if owned.pool.targets_of(stream).len() > 1 => {
                 self.begin_cancel(now, &pool, stream, outcome);
             }
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Carries out the decisions of all owned pools.
+    /// Runs the scheduler of each owned pool and sends its decisions to the waiting calls.
     pub(super) fn dispatch_all(&mut self) {
         let now = Instant::now();
         let may_decide = self.may_decide(now);
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Answers calls that have waited long enough; withdraws what no node asks for any more.
+    /// Replies to calls that have waited for [`MAX_CALL_WAIT`], and drops old refusals.
     pub(super) fn expire_waiters(&mut self, now: Instant) {
         for owned in self.owned.values_mut() {
             let expired: Vec<_> = owned
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Cancels attempts that no living node waits for or relays.
+    /// Cancels attempts that no live node waits for or relays.
     pub(super) fn cancel_orphans(&mut self, now: Instant) {
         let mut orphans = Vec::new();
         for (id, owned) in &mut self.owned {
@@ -173,7 +173,7 @@
             }
         }
         for (id, stream) in orphans {
-            tracing::info!("owner: no node claims {stream}, cancelling");
+            tracing::info!("owner: no node waits for or relays {stream}, cancelling it");
             self.begin_cancel(now, &id, stream, Outcome::Cancelled);
         }
     }
@@ -200,7 +200,7 @@
         self.waiters.insert(stream, Waiter { reply, since: now });
     }
 
-    /// Tells the waiting calls what the pool decided.
+    /// Sends the decisions of the pool to the waiting calls.
     fn deliver(&mut self, now: Instant) {
         for action in self.pool.take_actions() {
             match action {
@@ -209,7 +209,8 @@
                     self.grants.insert(stream, grant.clone());
                     if let Some(waiter) = self.waiters.remove(&stream) {
                         let epoch = self.epoch;
-                        // A call that has gone away asks again, or its claim times out.
+                        // If the call has been dropped, the node repeats it, or the attempt is
+                        // cancelled after `ORPHAN_TIMEOUT`.
                         let _ = waiter.reply.send(ReserveReply::Reserved { grant, epoch });
                     }
                 }
--- a/crates/azuresaddle-node/src/control/rules.rs
+++ b/crates/azuresaddle-node/src/control/rules.rs
@@ -1,4 +1,4 @@
-//! The operators' rules: from the store's watch, or from another node.
+//! Watches the store for rules and owner records, and fetches rules from other nodes.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,16 +13,17 @@
 use super::actor::Control;
 use super::command::Command;
 
-/// Longest wait of one watch; a silent connection costs no more than this and a second.
+/// Maximum duration of one watch call. A connection that no longer delivers anything is given up
+/// after this time and one second.
 const WATCH_WAIT: Duration = Duration::from_secs(2);
 
-/// Pause between watches, so that many changes in a row cost few calls.
+/// Delay between watch calls, so that a series of changes takes few calls.
 const WATCH_PAUSE: Duration = Duration::from_millis(200);
 
-/// Pause after a failed watch.
+/// Mean delay after a failed watch.
 const WATCH_BACKOFF: Duration = Duration::from_millis(500);
 
-/// Longest wait for another node's rules.
+/// Maximum wait for the rules of another node.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl<N: Network> Control<N> {
@@ -48,7 +49,7 @@
                             tracing::warn!("store: watch failed: {e}");
                         }
                         was_reachable = false;
-                        // Nodes that lost the store together do not come back together.
+                        // Without jitter, all nodes would reconnect to the store at the same time.
                         let jitter = 0.5 + rand::random::<f64>();
                         tokio::time::sleep(WATCH_BACKOFF.mul_f64(jitter)).await;
                     }
@@ -64,18 +65,22 @@
             if entry.key == RULES_KEY {
                 match RulesRecord::from_entry(&entry) {
                     Ok(record) => self.apply_rules(now, record),
-                    Err(e) => tracing::error!("rules: kept as they are: {e}"),
+                    Err(e) => tracing::error!(
+                        "rules: ignoring an invalid record, keeping the current rules: {e}"
+                    ),
                 }
             } else if entry.key.starts_with(OWNERS_PREFIX) {
                 match serde_json::from_str::<OwnerRecord>(&entry.value) {
                     Ok(record) => self.apply_owner(now, record),
-                    Err(e) => tracing::error!("owners: bad record under {}: {e}", entry.key),
+                    Err(e) => {
+                        tracing::error!("owners: ignoring an invalid record at {}: {e}", entry.key);
+                    }
                 }
             }
         }
     }
 
-    /// Takes rules of a higher version; others are ignored, so that nothing reverts.
+    /// Applies rules with a higher version; others are ignored, so that no older version returns.
     pub(super) fn apply_rules(&mut self, now: Instant, record: RulesRecord) {
         self.rules_known = true;
         if record.version <= self.rules.version {
@@ -86,7 +91,7 @@
         self.sync_targets(now);
     }
 
-    /// Fetches the rules of a node that has a higher version, or any while none are known.
+    /// Fetches the rules of a node if it has a higher version, or any version while none is known.
     pub(super) fn fetch_newer_rules(&mut self, node: &HostName, version: RulesVersion) {
         let is_news = version > self.rules.version || !self.rules_known;
         if !is_news || self.fetching_rules {
@@ -102,7 +107,7 @@
             let call = async |client: crate::peer::PeerClient, cx| client.rules(cx).await;
             let json = peers.call(addr, FETCH_TIMEOUT, call).await.ok();
             let record = json.and_then(|json| serde_json::from_str(&json).ok());
-            // Without an answer the next heartbeat tries again.
+            // If this fails, the next heartbeat tries again.
             Some(Command::Rules(record.unwrap_or_default()))
         });
     }
--- a/crates/azuresaddle-node/src/control/targets.rs
+++ b/crates/azuresaddle-node/src/control/targets.rs
@@ -1,4 +1,4 @@
-//! Targets of the owned pools: listed once, then polled.
+//! Keeps the targets of the owned pools current by polls and stream listings.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -12,17 +12,19 @@
 use super::command::Command;
 use crate::engine::wire::{CacheListing, LoadReport, StreamList};
 
-/// Interval of polls of each target's load.
+/// Interval at which each target's load is polled.
 const POLL_INTERVAL: Duration = Duration::from_secs(4);
 
-/// Interval of listings of each target's streams, which find leaks in the ledger.
+/// Interval at which each target lists its streams, to find differences from the ledger.
 const LISTING_INTERVAL: Duration = Duration::from_secs(15);
 
-/// Age of a reservation from which it must be listed by its target.
+/// Age above which a reservation is dropped if its target does not list it.
 const MIN_LISTED_AGE: Duration = Duration::from_secs(5);
 
 impl<N: Network> Control<N> {
-    /// Brings the owned pools in line with the host list and the planned stops.
+    /// Updates the targets of the owned pools from the host list and the planned stops.
+    ///
+    /// A target gets no new requests until it has listed its streams.
     pub(super) fn sync_targets(&mut self, now: Instant) {
         let now_unix_ms = unix_ms();
         for (id, owned) in &mut self.owned {
@@ -51,7 +53,7 @@
         }
     }
 
-    /// Whether a target takes no new work.
+    /// Whether a target gets no new requests because its host is about to stop.
     pub(super) fn is_leaving(&self, name: &HostName) -> bool {
         let listed = self.hosts.engines.get(name).is_some_and(|e| e.leaving);
         listed || self.rules.document.is_stopping(name, unix_ms())
@@ -88,7 +90,7 @@
         });
     }
 
-    /// Reads a target's load and, where there is news, its cache events.
+    /// Reads a target's load and, if its prefix cache has changed, the changes.
     fn spawn_poll(&self, name: &HostName, last_cache_sequence: Option<u64>) {
         let Some(engine) = self.hosts.engines.get(name) else {
             return;
@@ -124,7 +126,8 @@
         }
     }
 
-    /// Adopts streams that the ledger lacks, and drops reservations that the target lacks.
+    /// Adds streams that are missing in the ledger, and drops reservations that are missing on the
+    /// target.
     pub(super) fn on_stream_listing(
         &mut self,
         now: Instant,
@@ -139,8 +142,8 @@
             owned.pool.on_incarnation(now, name, list.incarnation);
             owned.listed.insert(name.clone(), now);
             for live in &list.streams {
-                // One that ended while the listing was under way is cancelled again, as no node
-                // claims it.
+                // A stream that ended while the listing was in transit is cancelled later, as no
+                // node reports it as in use.
                 owned.pool.adopt(now, name, live);
                 owned.last_in_use.entry(live.stream).or_insert(now);
             }
@@ -148,7 +151,7 @@
                 .pool
                 .missing_on(sent, name, &list.streams, MIN_LISTED_AGE)
             {
-                tracing::warn!("owner: {name} does not run {stream}, reservation dropped");
+                tracing::warn!("owner: {name} does not list {stream}, dropping its reservation");
                 owned.pool.on_end(now, stream, Outcome::Cancelled);
                 owned.forget(stream);
             }
@@ -169,7 +172,7 @@
         for owned in self.owned.values_mut() {
             for event in &events {
                 if owned.pool.on_cache_event(name, *event) {
-                    // A gap: the next poll lists the cache anew.
+                    // Events are missing; the next poll fetches a full listing.
                     owned.cache_sequences.remove(name);
                     break;
                 }
