--- a/crates/azuresaddle-node/src/engine/client.rs
+++ b/crates/azuresaddle-node/src/engine/client.rs
@@ -1,4 +1,4 @@
-//! Orders and questions to an engine.
+//! HTTP client for model engines.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -19,10 +19,10 @@
     TITLE_UNKNOWN_STREAM,
 };
 
-/// Longest problem body, in bytes.
+/// Maximum size of an error response's body, in bytes.
 const MAX_PROBLEM_BYTES: usize = 64 << 10;
 
-/// Talks to engines.
+/// Calls the HTTP interface of model engines.
 #[derive(Clone)]
 pub struct EngineClient<N> {
     http: HttpClient<N>,
@@ -30,7 +30,7 @@
 }
 
 impl<N: Network> EngineClient<N> {
-    /// A client; `timeout` bounds each answer and each silence of a stream.
+    /// Creates a client; `timeout` limits the wait for each response and for each part of a stream.
     pub fn new(http: HttpClient<N>, timeout: Duration) -> Self {
         Self { http, timeout }
     }
@@ -38,7 +38,8 @@
     /// Starts a stream.
     ///
     /// # Errors
-    /// Where the engine does not take it; the failure says whether it may have run.
+    /// Returns an error if the engine does not start it; [`EngineError::verdict`] tells whether it
+    /// may have run.
     pub async fn start(
         &self,
         addr: SocketAddr,
@@ -48,10 +49,11 @@
         self.open_stream(addr, req).await
     }
 
-    /// Reads a running stream from an index on.
+    /// Reads a running stream from token index `after`.
     ///
     /// # Errors
-    /// Where the engine does not know it, or another node reads it and `take_over` is not set.
+    /// Returns an error if the engine does not know the stream, or if another node reads it and
+    /// `take_over` is false.
     pub async fn resume(
         &self,
         addr: SocketAddr,
@@ -67,10 +69,10 @@
         self.open_stream(addr, req).await
     }
 
-    /// Holds memory on an engine for a stream that another leads.
+    /// Reserves memory on an engine for a stream that runs on another engine.
     ///
     /// # Errors
-    /// Where the engine does not hold it.
+    /// Returns an error if the engine does not reserve it.
     pub async fn lend(&self, addr: SocketAddr, lend: &LendRequest) -> Result<(), EngineError> {
         let req = json_request(Method::POST, "/v1/lends", lend);
         let resp = self.http.send(addr, req, self.timeout).await?;
@@ -80,7 +82,7 @@
     /// Cancels a stream or lent memory; true once the engine holds nothing for it.
     ///
     /// # Errors
-    /// Where the engine does not answer.
+    /// Returns an error if the engine does not answer.
     pub async fn cancel(
         &self,
         addr: SocketAddr,
@@ -101,23 +103,23 @@
     /// Lists the streams that an engine holds memory for.
     ///
     /// # Errors
-    /// Where the engine does not answer.
+    /// Returns an error if the engine does not answer.
     pub async fn streams(&self, addr: SocketAddr) -> Result<StreamList, HttpError> {
         self.http.get(addr, "/v1/streams", self.timeout).await
     }
 
-    /// Reads the load.
+    /// Reads the load of an engine.
     ///
     /// # Errors
-    /// Where the engine does not answer.
+    /// Returns an error if the engine does not answer.
     pub async fn load(&self, addr: SocketAddr) -> Result<LoadReport, HttpError> {
         self.http.get(addr, "/v1/load", self.timeout).await
     }
 
-    /// Reads changes of the prefix cache after a sequence.
+    /// Reads the changes of the prefix cache after a sequence number.
     ///
     /// # Errors
-    /// Where the engine does not answer.
+    /// Returns an error if the engine does not answer.
     pub async fn cache_changes(
         &self,
         addr: SocketAddr,
@@ -127,10 +129,10 @@
         self.http.get(addr, &path, self.timeout).await
     }
 
-    /// Lists the prefix cache.
+    /// Lists all blocks of the prefix cache.
     ///
     /// # Errors
-    /// Where the engine does not answer.
+    /// Returns an error if the engine does not answer.
     pub async fn cache_listing(&self, addr: SocketAddr) -> Result<CacheListing, HttpError> {
         self.http.get(addr, "/v1/cache/listing", self.timeout).await
     }
--- a/crates/azuresaddle-node/src/engine/error.rs
+++ b/crates/azuresaddle-node/src/engine/error.rs
@@ -1,16 +1,16 @@
-//! Failure of an order to an engine.
+//! Errors of calls to an engine.
 
 use azuresaddle_core::http::HttpError;
 use azuresaddle_core::prelude::*;
 use thiserror::Error;
 
-/// Why an engine did not take an order.
+/// Why a call to an engine failed.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum EngineError {
     /// No connection was made.
     #[error("target unreachable: {0}")]
     Unreachable(String),
-    /// The engine refused the order and did nothing.
+    /// The engine refused the request and did nothing.
     #[error("target refused: {0}")]
     Refused(String),
     /// The engine runs the stream already.
@@ -22,13 +22,13 @@
     /// The engine does not know the stream.
     #[error("the target does not know the stream")]
     UnknownStream,
-    /// The connection broke or fell silent after the order was sent.
+    /// The connection broke or timed out after the request was sent.
     #[error("no answer from the target: {0}")]
     Unknown(String),
 }
 
 impl EngineError {
-    /// What the failure says about the execution.
+    /// Whether the engine may have run the request.
     pub fn verdict(&self) -> Verdict {
         match self {
             Self::Unreachable(_) | Self::Refused(_) => Verdict::NotRun,
--- a/crates/azuresaddle-node/src/engine/event_stream.rs
+++ b/crates/azuresaddle-node/src/engine/event_stream.rs
@@ -1,4 +1,4 @@
-//! Server-sent events of an engine.
+//! Reads the server-sent events of an engine.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -9,10 +9,10 @@
 
 use super::wire::TokenEvent;
 
-/// Longest line, in bytes; a longer one is no token event.
+/// Maximum length of a line, in bytes; a longer one can't be a token event.
 const MAX_LINE_BYTES: usize = 64 << 10;
 
-/// Start of a line that carries data.
+/// Start of a data line.
 const DATA_PREFIX: &[u8] = b"data:";
 
 /// Why a stream of events ended before its last token.
@@ -21,15 +21,15 @@
     /// The connection broke.
     #[error("the connection broke")]
     Broken,
-    /// Nothing came for too long, not even a comment.
+    /// Nothing was received in time, not even a comment line.
     #[error("the connection is silent")]
     Silent,
-    /// What came is no event.
+    /// The data received is not an event.
     #[error("the target sent what is no event")]
     Malformed,
 }
 
-/// Reads token events.
+/// Token events of one response.
 #[derive(Debug)]
 pub struct EngineStream {
     body: Incoming,
@@ -51,7 +51,8 @@
     /// Waits for the next event.
     ///
     /// # Errors
-    /// Where the connection breaks, is silent for too long, or carries what is no event.
+    /// Returns an error if the connection breaks, nothing is received in time, or the data is not
+    /// an event.
     pub async fn next(&mut self) -> Result<TokenEvent, StreamError> {
         loop {
             if let Some(event) = self.ready.pop_front() {
--- a/crates/azuresaddle-node/src/engine/mod.rs
+++ b/crates/azuresaddle-node/src/engine/mod.rs
@@ -1,4 +1,4 @@
-//! Client of the model engines. Another dialect of engine touches only this module.
+//! Client of the model engines. Only this module depends on their HTTP interface.
 
 mod client;
 mod error;
--- a/crates/azuresaddle-node/src/engine/wire.rs
+++ b/crates/azuresaddle-node/src/engine/wire.rs
@@ -11,25 +11,25 @@
 //! | `GET /v1/cache?after=N` | | [`CacheChanges`] |
 //! | `GET /v1/cache/listing` | | [`CacheListing`] |
 //!
-//! Failures are problem bodies; their `title` is one of the `TITLE_` constants. A comment line is
-//! sent at least each second while no token is ready.
+//! Errors are returned as [`Problem`]s; their `title` is one of the `TITLE_` constants. While no
+//! token is ready, a comment line is sent at least once per second.
 
 use azuresaddle_core::prelude::*;
 use azuresaddle_sched::{CacheEvent, LiveStream};
 use serde::{Deserialize, Serialize};
 
-/// The order carries an old fencing number.
+/// The request carries an outdated fencing token.
 pub const TITLE_FENCED: &str = "fenced";
-/// The engine lacks memory; the request did not start.
+/// The engine has too little free memory; the request was not started.
 pub const TITLE_NO_MEMORY: &str = "no-memory";
-/// The engine runs the stream already.
+/// The engine is already running the stream.
 pub const TITLE_DUPLICATE: &str = "duplicate";
 /// Another node reads the stream.
 pub const TITLE_DISPLACED: &str = "displaced";
 /// The engine does not know the stream.
 pub const TITLE_UNKNOWN_STREAM: &str = "unknown-stream";
 
-/// Fencing number of an order.
+/// Fencing token of a request; the engine refuses one with an outdated epoch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct FencingToken {
@@ -39,7 +39,7 @@
     pub epoch: Epoch,
 }
 
-/// Starts a stream.
+/// Request to start a stream.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct StartRequest {
@@ -47,25 +47,25 @@
     pub stream: StreamId,
     /// The node that reads it.
     pub node: HostName,
-    /// Who asks.
+    /// The client account of the request.
     pub account: ClientAccount,
     /// The prompt.
     pub prompt: String,
-    /// Tokens of the answer that the caller has already.
+    /// Tokens of the answer that the caller already has.
     pub prior: Vec<String>,
-    /// Most tokens of the answer, the prior ones included.
+    /// Maximum length of the answer, in tokens, including the prior ones.
     pub max_tokens: u64,
-    /// From -8 to 8.
+    /// Priority, from -8 to 8.
     pub priority: i8,
-    /// Memory to hold, in tokens.
+    /// Memory to reserve, in tokens.
     pub memory_tokens: u64,
-    /// Engines that share the prefill, this one included.
+    /// Number of engines that share the prefill, this one included.
     pub members: u32,
-    /// Fencing number.
+    /// Fencing token of the pool's owner.
     pub fence: FencingToken,
 }
 
-/// Holds memory for a stream that another engine leads.
+/// Request to reserve memory for a stream that runs on another engine.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct LendRequest {
@@ -73,11 +73,11 @@
     pub stream: StreamId,
     /// The node that reads it.
     pub node: HostName,
-    /// Who asks.
+    /// The client account of the request.
     pub account: ClientAccount,
-    /// Memory to hold, in tokens.
+    /// Memory to reserve, in tokens.
     pub memory_tokens: u64,
-    /// Fencing number.
+    /// Fencing token of the pool's owner.
     pub fence: FencingToken,
 }
 
@@ -91,11 +91,11 @@
     pub index: u64,
     /// Text of the token.
     pub token: String,
-    /// Whether the answer is whole with this token.
+    /// Whether this token completes the answer.
     pub last: bool,
 }
 
-/// Whether a stream is gone and its memory free.
+/// Reply that tells whether a stream is gone and its memory is free.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct GoneReply {
@@ -109,23 +109,23 @@
 pub struct StreamList {
     /// The engine's incarnation.
     pub incarnation: Incarnation,
-    /// The streams, lent memory included.
+    /// The streams, including those that only hold lent memory.
     pub streams: Vec<LiveStream>,
 }
 
-/// Load of an engine, some time ago.
+/// Load of an engine; it may be out of date.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct LoadReport {
     /// The engine's incarnation.
     pub incarnation: Incarnation,
-    /// Memory in tokens.
+    /// KV-cache capacity, in tokens.
     pub memory_tokens: u64,
-    /// Memory held, in tokens.
+    /// Memory in use, in tokens.
     pub used_tokens: u64,
-    /// Streams that are queued or run.
+    /// Number of queued and running streams.
     pub streams: u64,
-    /// Sequence of the latest cache event.
+    /// Sequence number of the latest cache event.
     pub cache_sequence: u64,
 }
 
@@ -137,11 +137,11 @@
     pub events: Vec<CacheEvent>,
 }
 
-/// All of the prefix cache.
+/// Full listing of the prefix cache.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct CacheListing {
-    /// Sequence of the latest event that the listing contains.
+    /// Sequence number of the latest event included in the listing.
     pub sequence: u64,
     /// Chained hashes of the cached blocks.
     pub blocks: Vec<u64>,
--- a/crates/azuresaddle-node/src/peer/clients.rs
+++ b/crates/azuresaddle-node/src/peer/clients.rs
@@ -4,5 +4,5 @@
 
 use super::service::{PeerClient, PeerRequest, PeerResponse};
 
-/// Keeps one connection to each other node.
+/// Clients with one connection to each other node.
 pub type PeerClients<N> = RpcClients<N, PeerClient, PeerRequest, PeerResponse>;
--- a/crates/azuresaddle-node/src/peer/mod.rs
+++ b/crates/azuresaddle-node/src/peer/mod.rs
@@ -1,4 +1,4 @@
-//! Messages between nodes, by tarpc.
+//! Remote procedure calls between nodes, over tarpc.
 
 mod clients;
 mod messages;
--- a/crates/azuresaddle-node/src/peer/server.rs
+++ b/crates/azuresaddle-node/src/peer/server.rs
@@ -1,4 +1,4 @@
-//! Serves other nodes.
+//! Serves the calls of other nodes.
 
 use azuresaddle_core::burn::BurnCounts;
 use azuresaddle_core::prelude::*;
--- a/crates/azuresaddle-node/src/peer/service.rs
+++ b/crates/azuresaddle-node/src/peer/service.rs
@@ -8,16 +8,16 @@
 /// Calls between nodes.
 #[tarpc::service]
 pub trait Peer {
-    /// Asks for a reservation; waits a bounded time.
+    /// Requests a reservation; waits a bounded time.
     async fn reserve(req: ReserveRequest) -> ReserveReply;
-    /// Reports what happened to attempts.
+    /// Reports events of attempts.
     async fn report(reports: Vec<Report>);
-    /// Tells that another node relays an attempt.
+    /// Reports that another node now relays an attempt.
     async fn take_over(take_over: TakeOver);
-    /// Exchanges signs of life.
+    /// Exchanges heartbeats.
     async fn heartbeat(heartbeat: Heartbeat) -> HeartbeatReply;
-    /// The rules in force, as JSON.
+    /// Returns the rules in force, as JSON.
     async fn rules() -> String;
-    /// Service-level counts of the node.
+    /// Returns the node's counts for the service-level objectives.
     async fn burn() -> BurnCounts;
 }
