--- a/crates/azuresaddle-node/src/host_client.rs
+++ b/crates/azuresaddle-node/src/host_client.rs
@@ -7,13 +7,13 @@
 use azuresaddle_core::http::{HttpClient, HttpError};
 use azuresaddle_core::prelude::*;
 
-/// Longest wait for the list.
+/// Maximum wait for the list.
 const TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Reads the host list.
 ///
 /// # Errors
-/// Where it does not answer or the answer is not a list.
+/// Returns an error if the platform does not answer or the response is not a host list.
 pub async fn read_host_list<N: Network>(
     http: &HttpClient<N>,
     addr: SocketAddr,
--- a/crates/azuresaddle-node/src/lib.rs
+++ b/crates/azuresaddle-node/src/lib.rs
@@ -1,7 +1,8 @@
-//! The node: the one program on every entry host.
+//! The node, which runs on every entry host.
 //!
-//! Traffic runs on many threads; control state is kept by one task on a thread of its own. Control
-//! publishes immutable [`snapshot::Snapshot`]s, traffic sends [`control::Command`]s.
+//! Requests are handled on many threads (`traffic`). All other state belongs to one task on its own
+//! thread (`control`), which publishes immutable [`snapshot::Snapshot`]s; `traffic` sends it
+//! [`control::Command`]s.
 
 pub mod control;
 pub mod engine;
--- a/crates/azuresaddle-node/src/metrics.rs
+++ b/crates/azuresaddle-node/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics by cadence over UDP.
+//! Sends metrics over UDP in the StatsD format.
 
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::Arc;
@@ -17,7 +17,7 @@
 }
 
 impl Metrics {
-    /// Metrics that go nowhere.
+    /// Creates a client that discards all metrics.
     pub fn disabled() -> Self {
         let client = StatsdClient::from_sink(PREFIX, NopMetricSink);
         Self {
@@ -25,10 +25,10 @@
         }
     }
 
-    /// Metrics that are sent to an address; lost ones are not sent again.
+    /// Creates a client that sends metrics to an address; lost packets are not resent.
     ///
     /// # Errors
-    /// Where no UDP socket can be bound.
+    /// Returns an error if no UDP socket can be bound.
     pub fn open(to: SocketAddr) -> std::io::Result<Self> {
         let local = if to.is_ipv4() { "0.0.0.0:0" } else { "[::]:0" };
         let socket = UdpSocket::bind(local)?;
@@ -39,7 +39,7 @@
         })
     }
 
-    /// Counts one event.
+    /// Increments a counter.
     pub fn count(&self, name: &str) {
         let _ = self.client.incr(name);
     }
@@ -49,7 +49,7 @@
         let _ = self.client.time(name, took);
     }
 
-    /// Records a level.
+    /// Records the current value of a gauge.
     pub fn gauge(&self, name: &str, value: u64) {
         let _ = self.client.gauge(name, value);
     }
--- a/crates/azuresaddle-node/src/node.rs
+++ b/crates/azuresaddle-node/src/node.rs
@@ -1,4 +1,4 @@
-//! Opens and stops a node.
+//! Starts and stops a node.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,16 +23,16 @@
     AdminHandler, BODY_PERMIT_BYTES, CallerHandler, ServiceLoad, Traffic, spawn_reporter,
 };
 
-/// Most commands that wait for control; more senders wait.
+/// Capacity of the control task's command queue; senders wait while it is full.
 const COMMAND_QUEUE_CAPACITY: usize = 4096;
 
-/// Interval at which a stopping node looks whether it is idle.
+/// Interval at which a stopping node checks whether it is idle.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Why a node could not be opened.
 #[derive(Debug, Error)]
 pub enum OpenError {
-    /// A setting can't be used.
+    /// A setting is invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
     /// An address can't be bound.
@@ -42,7 +42,7 @@
         flag: &'static str,
         /// The address.
         addr: SocketAddr,
-        /// What the system said.
+        /// Error from the operating system.
         source: std::io::Error,
     },
     /// Metrics can't be sent.
@@ -65,10 +65,11 @@
 impl Node {
     /// Checks the settings, binds the addresses and starts all tasks.
     ///
-    /// Control runs on the runtime of `control`, traffic on the present one.
+    /// The control task runs on the runtime of `control`, everything else on the current one.
     ///
     /// # Errors
-    /// Where a setting can't be used or an address can't be bound.
+    /// Returns an error if a setting is invalid, an address can't be bound or the metrics socket
+    /// can't be opened.
     pub async fn open<N: Network>(
         settings: Settings,
         net: N,
@@ -108,7 +109,7 @@
         serve(callers, spawner.clone(), limits, handler);
         let handler = Arc::new(AdminHandler::new(traffic));
         serve(admins, spawner.clone(), limits, handler);
-        tracing::info!("node: {name} serves callers on {addr}");
+        tracing::info!("node: {name} listening for callers on {addr}");
         Ok(Self {
             name,
             addr,
@@ -126,28 +127,28 @@
         &self.name
     }
 
-    /// Bound address for callers.
+    /// Address on which callers are served.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Bound address for other nodes.
+    /// Address on which other nodes are served.
     pub fn peer_addr(&self) -> SocketAddr {
         self.peer_addr
     }
 
-    /// Bound address for operators.
+    /// Address on which operators are served.
     pub fn admin_addr(&self) -> SocketAddr {
         self.admin_addr
     }
 
-    /// The snapshot in force.
+    /// The current snapshot.
     pub fn snapshot(&self) -> Arc<Snapshot> {
         self.snapshot.load_full()
     }
 
-    /// Stops gracefully: the address is no longer given out, pools go to other nodes, and the call
-    /// returns when the last answer has ended.
+    /// Stops gracefully: the address is no longer returned to callers, pools are handed over to
+    /// other nodes, and the call returns when the last answer has ended.
     pub async fn stop(&self) {
         self.control.send(Command::Stop).await;
         while self.snapshot.load().admission != Admission::Stopping {
@@ -159,7 +160,7 @@
         tracing::info!("node: {} stopped", self.name);
     }
 
-    /// The node's tasks, to kill or freeze them.
+    /// Spawner of the node's tasks, which can kill or freeze them.
     pub fn spawner(&self) -> &Spawner {
         &self.spawner
     }
--- a/crates/azuresaddle-node/src/settings.rs
+++ b/crates/azuresaddle-node/src/settings.rs
@@ -6,7 +6,7 @@
 use azuresaddle_core::prelude::*;
 use thiserror::Error;
 
-/// Least time to live of the lease; shorter ones would lapse in a slow call to the store.
+/// Minimum time to live of the lease; a shorter one could expire during a slow call to the store.
 const MIN_LEASE_TTL: Duration = Duration::from_secs(2);
 
 /// Settings of a node, checked by [`Settings::check`].
@@ -22,48 +22,48 @@
     pub peer_listen: SocketAddr,
     /// Address for operators.
     pub admin_listen: SocketAddr,
-    /// Bearer token of operators.
+    /// Bearer token of operators; required unless `admin_listen` is a loopback address.
     pub admin_token: Option<String>,
-    /// Address of the key-value service.
+    /// Address of the key-value store.
     pub store: SocketAddr,
     /// Address of the host list.
     pub host_list: SocketAddr,
-    /// Where metrics are sent over UDP.
+    /// Address to which metrics are sent over UDP; `None` disables them.
     pub metrics: Option<SocketAddr>,
-    /// Longest request body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub max_body_bytes: usize,
-    /// Most bytes of request bodies held at a time.
+    /// Maximum total size of the request bodies in memory, in bytes.
     pub max_buffered_bytes: usize,
-    /// Most connections of callers at a time.
+    /// Maximum number of concurrent connections of callers.
     pub max_connections: usize,
-    /// Longest time for a request's head or body to arrive.
+    /// Maximum time for a request's head or body to arrive.
     pub body_timeout: Duration,
-    /// How long callers may keep an answer to "which address".
+    /// How long callers may cache the list of node addresses.
     pub address_ttl: Duration,
     /// Time to live of this node's lease in the store.
     pub lease_ttl: Duration,
-    /// Longest wait for an answer of the store.
+    /// Maximum wait for a response of the store.
     pub store_timeout: Duration,
-    /// Longest silence of a target before its connection counts as broken.
+    /// Maximum time without data from a target before its connection counts as broken.
     pub target_timeout: Duration,
-    /// Prefill rate assumed of an engine until it is learned, in tokens a second.
+    /// Prefill rate assumed for an engine until it is measured, in tokens per second.
     pub initial_prefill_rate: f64,
 }
 
-/// A setting that can't be used.
+/// An invalid setting.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 #[error("--{flag} {value}: {expected}")]
 pub struct SettingsError {
     /// Name of the flag.
     pub flag: &'static str,
-    /// The value given.
+    /// The given value.
     pub value: String,
-    /// What would be right.
+    /// What is expected instead.
     pub expected: &'static str,
 }
 
 impl Settings {
-    /// Settings with defaults for all but names and addresses.
+    /// Creates settings with defaults for everything but names and addresses.
     pub fn new(name: &str, domain: &str, addrs: NodeAddrs) -> Self {
         Self {
             name: HostName::new(name),
@@ -90,7 +90,7 @@
     /// Checks the settings before anything is bound.
     ///
     /// # Errors
-    /// The first setting that can't be used.
+    /// Returns the first setting that is invalid.
     pub fn check(&self) -> Result<(), SettingsError> {
         require(
             !self.name.as_str().is_empty(),
@@ -164,7 +164,7 @@
     pub peer_listen: SocketAddr,
     /// For operators.
     pub admin_listen: SocketAddr,
-    /// Of the key-value service.
+    /// Of the key-value store.
     pub store: SocketAddr,
     /// Of the host list.
     pub host_list: SocketAddr,
--- a/crates/azuresaddle-node/src/snapshot.rs
+++ b/crates/azuresaddle-node/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! What traffic knows: immutable, replaced as a whole by control.
+//! Immutable state that the control task publishes to the traffic threads.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -12,13 +12,13 @@
 use tokio::time::Instant;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Most targets of a pool.
+/// Maximum number of targets in a pool.
 const MAX_POOL_TARGETS: usize = 32;
 
-/// The snapshot in force, shared with traffic.
+/// The current snapshot, shared between the control task and traffic.
 pub type SharedSnapshot = Arc<ArcSwap<Snapshot>>;
 
-/// Everything that traffic needs to know.
+/// State that traffic needs to handle requests; replaced as a whole.
 #[derive(Clone, Debug)]
 pub struct Snapshot {
     /// The rules in force.
@@ -27,40 +27,40 @@
     pub hosts: Arc<HostIndex>,
     /// Owners of pools.
     pub owners: Arc<HashMap<PoolId, OwnerRecord>>,
-    /// Digests of pools.
+    /// Latest digests of pools.
     pub digests: Arc<Vec<ReceivedDigest>>,
-    /// Whether new requests are taken.
+    /// Whether new requests are accepted.
     pub admission: Admission,
-    /// Whether the store answered lately.
+    /// Whether the store has replied recently.
     pub store_reachable: bool,
-    /// Entry hosts that are about to stop, by what they said themselves.
+    /// Entry hosts that are about to stop, as reported by their own nodes.
     pub stopping_nodes: Arc<Vec<HostName>>,
 }
 
-/// A digest with the time it came.
+/// A digest with the time of its receipt.
 #[derive(Clone, Debug)]
 pub struct ReceivedDigest {
     /// The digest.
     pub digest: PoolDigest,
-    /// When it came.
+    /// When it was received.
     pub received_at: Instant,
 }
 
-/// Whether a node takes new requests.
+/// Whether a node accepts new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// New requests are taken.
+    /// New requests are accepted.
     Open,
     /// No rules are known yet.
     NoRules,
-    /// Neither the store nor a majority of the nodes can be reached, so the rules may be old.
+    /// Neither the store nor a majority of the nodes can be reached, so the rules may be outdated.
     Partitioned,
-    /// The node is about to stop and its address is no longer given out.
+    /// The node is about to stop and its address is no longer returned to callers.
     Stopping,
 }
 
 impl Snapshot {
-    /// What a node knows before it has heard of anything.
+    /// The snapshot of a node that has just started.
     pub fn empty() -> Self {
         Self {
             rules: Arc::default(),
@@ -81,9 +81,9 @@
     pub addr: SocketAddr,
     /// The pool it belongs to.
     pub pool: PoolId,
-    /// Memory in tokens.
+    /// KV-cache capacity, in tokens.
     pub memory_tokens: u64,
-    /// Whether the host is about to go away.
+    /// Whether the host is about to be removed.
     pub leaving: bool,
 }
 
@@ -98,7 +98,7 @@
     pub peer_addr: SocketAddr,
     /// Failure domain.
     pub domain: FailureDomain,
-    /// Whether the host is about to go away.
+    /// Whether the host is about to be removed.
     pub leaving: bool,
 }
 
@@ -111,7 +111,7 @@
     pub addr: SocketAddr,
     /// Failure domain.
     pub domain: FailureDomain,
-    /// Whether the host is about to go away.
+    /// Whether the host is about to be removed.
     pub leaving: bool,
 }
 
@@ -129,7 +129,7 @@
 }
 
 impl HostIndex {
-    /// Sorts a host list by kind and forms the pools.
+    /// Groups a host list by kind and assigns the engines to pools.
     pub fn new(list: HostList) -> Self {
         let mut index = Self::default();
         let mut groups: BTreeMap<(Model, FailureDomain), Vec<Host>> = BTreeMap::new();
@@ -166,7 +166,7 @@
         index
     }
 
-    /// Splits the engines of one model in one failure domain into pools.
+    /// Adds the engines of one model in one failure domain and splits them into pools.
     fn add_engines(&mut self, model: &Model, domain: &FailureDomain, hosts: Vec<Host>) {
         let shards = hosts.len().div_ceil(MAX_POOL_TARGETS) as u16;
         for host in hosts {
@@ -197,7 +197,7 @@
         self.pools.keys().filter(move |pool| pool.model == *model)
     }
 
-    /// Memory of all engines of a pool together, in tokens.
+    /// Total memory of a pool's engines, in tokens.
     pub fn pool_memory(&self, pool: &PoolId) -> u64 {
         let names = self.pools.get(pool).into_iter().flatten();
         names
@@ -207,7 +207,8 @@
     }
 }
 
-/// Rendezvous hashing keeps most targets where they are when the number of shards changes.
+/// Chooses the shard of a host by rendezvous hashing, so that most hosts keep their shard when the
+/// number of shards changes.
 fn shard_of(name: &HostName, shards: u16) -> u16 {
     let score = |shard: &u16| xxh3_64_with_seed(name.as_str().as_bytes(), u64::from(*shard));
     (0..shards).max_by_key(score).unwrap_or(0)
