--- a/crates/azuresaddle-node/src/traffic/answers.rs
+++ b/crates/azuresaddle-node/src/traffic/answers.rs
@@ -83,8 +83,8 @@
             .resume(addr, placement.stream, after, own, true)
             .await
             .map_err(|e| match e {
-                EngineError::UnknownStream => lost("its target does not have it any more"),
-                e => lost(&e.to_string()),
+                EngineError::UnknownStream => answer_lost("its target does not have it any more"),
+                e => answer_lost(&e.to_string()),
             })
     }
 
@@ -121,7 +121,9 @@
         opened: EngineStream,
         mut sink: CallerSink,
     ) {
-        let _live = self.live.register(placement.stream, &placement.pool);
+        let _live = self
+            .live_streams
+            .register(placement.stream, &placement.pool);
         let mut progress = Progress {
             next_index: after,
             may_have_run: true,
--- a/crates/azuresaddle-node/src/traffic/relay.rs
+++ b/crates/azuresaddle-node/src/traffic/relay.rs
@@ -126,8 +126,8 @@
         let engines = &self.traffic.engines;
         match engines.resume(*lead, stream, next, own, false).await {
             Ok(events) => Ok(Ok(events)),
-            Err(EngineError::Displaced) => Err(RelayEnd::Displaced),
-            Err(e @ EngineError::UnknownStream) => Err(RelayEnd::Target(e.to_string())),
+            Err(EngineError::Displaced) => Err(RelayError::Displaced),
+            Err(e @ EngineError::UnknownStream) => Err(RelayError::TargetFailed(e.to_string())),
             Err(e) => Ok(Err(e.to_string())),
         }
     }
--- a/crates/azuresaddle-node/src/traffic/run_job.rs
+++ b/crates/azuresaddle-node/src/traffic/run_job.rs
@@ -110,8 +110,8 @@
                 progress.may_have_run = ran_before;
                 self.report(placement, report_kind(&e, placement));
                 return Err(match e {
-                    EngineError::Refused(_) => RelayEnd::Refused(e.to_string()),
-                    _ => RelayEnd::Target(e.to_string()),
+                    EngineError::Refused(_) => RelayError::TargetRefused(e.to_string()),
+                    _ => RelayError::TargetFailed(e.to_string()),
                 });
             }
             // The start order may have arrived: the relay then reads the stream that it started
@@ -157,7 +157,7 @@
 }
 
 /// What the owner has to know of an order that was not run.
-fn report_of(e: &EngineError, placement: &Placement) -> ReportKind {
+fn report_kind(e: &EngineError, placement: &Placement) -> ReportKind {
     // Lent memory may be held by the other targets, so only a single target's refusal is final.
     match e {
         EngineError::Refused(_) if placement.targets.len() == 1 => {
@@ -188,7 +188,7 @@
                     target_failed: false,
                 },
             }),
-            _live: traffic.live.register(stream, pool),
+            _live: traffic.live_streams.register(stream, pool),
         }
     }
 
--- a/crates/azuresaddle-node/src/traffic/start_stream.rs
+++ b/crates/azuresaddle-node/src/traffic/start_stream.rs
@@ -19,7 +19,7 @@
         placement: &Placement,
         prior: &[String],
     ) -> Result<EngineStream, EngineError> {
-        let Some(((_, leader), others)) = placement.targets.split_first() else {
+        let Some(((_, lead), others)) = placement.targets.split_first() else {
             return Err(EngineError::Refused("no target was reserved".to_owned()));
         };
         let fence = FencingToken {
