--- a/src/cmd/admin.rs
+++ b/src/cmd/admin.rs
@@ -1,4 +1,4 @@
-//! Calls of the operators' interface.
+//! Client of a node's admin interface.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,13 +15,13 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Longest wait for an answer.
+/// Timeout of a call.
 const TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Longest answer, in bytes.
+/// Maximum size of an answer, in bytes.
 const MAX_ANSWER_BYTES: usize = 16 << 20;
 
-/// Arguments that lead to a node's operators' interface.
+/// Arguments for the address and the token of a node's admin interface.
 pub(crate) fn args() -> [Arg; 2] {
     [
         Arg::new("admin")
@@ -40,19 +40,20 @@
     ]
 }
 
-/// An answer of the operators' interface.
+/// An answer of the admin interface.
 pub(crate) struct AdminAnswer {
     pub(crate) status: StatusCode,
     body: Bytes,
 }
 
 impl AdminAnswer {
-    /// Reads the body, whatever the status.
+    /// Decodes the body, whatever the status.
     pub(crate) fn read<T: DeserializeOwned>(&self) -> Result<T> {
-        serde_json::from_slice(&self.body).context("the node's answer is not as expected")
+        serde_json::from_slice(&self.body).context("the node's answer has an unexpected format")
     }
 
-    /// Reads the body of a success; a failure becomes an error with the problem's detail.
+    /// Decodes the body of a successful answer; any other status becomes an error with the title and detail of the
+    /// problem.
     pub(crate) fn success<T: DeserializeOwned>(&self) -> Result<T> {
         if self.status.is_success() {
             return self.read();
@@ -64,7 +65,7 @@
     }
 }
 
-/// Client of a node's operators' interface.
+/// Client of a node's admin interface.
 pub(crate) struct AdminClient {
     http: HttpClient<TcpNetwork>,
     addr: SocketAddr,
@@ -72,7 +73,7 @@
 }
 
 impl AdminClient {
-    /// A client as the arguments say; needs a runtime.
+    /// Creates a client for the address and token in `args`; must be called in a Tokio runtime.
     pub(crate) fn new(args: &ArgMatches) -> Self {
         Self {
             http: HttpClient::new(TcpNetwork, Spawner::current()),
@@ -81,7 +82,7 @@
         }
     }
 
-    /// A client of an address that asks for no token; needs a runtime.
+    /// Creates a client for an address that needs no token; must be called in a Tokio runtime.
     pub(crate) fn without_token(addr: SocketAddr) -> Self {
         Self {
             http: HttpClient::new(TcpNetwork, Spawner::current()),
@@ -90,12 +91,12 @@
         }
     }
 
-    /// Reads a value.
+    /// Sends a GET request and decodes the answer.
     pub(crate) async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T> {
         self.call(Method::GET, path, &()).await?.success()
     }
 
-    /// Makes a call.
+    /// Sends a request with a JSON body.
     pub(crate) async fn call<Q: Serialize>(
         &self,
         method: Method,
--- a/src/cmd/ask.rs
+++ b/src/cmd/ask.rs
@@ -1,4 +1,4 @@
-//! `ask`: one request from the terminal.
+//! `ask`: sends one request from the terminal.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,12 +17,12 @@
 use super::output;
 use super::runtime::client_runtime;
 
-/// Longest silence of an answer that has begun.
+/// Maximum time between two events of an answer.
 const EVENT_TIMEOUT: Duration = Duration::from_secs(10);
 
 pub(crate) fn make_subcommand() -> Command {
     Command::new("ask")
-        .about("Sends one prompt and prints the answer as it comes")
+        .about("Sends one prompt and prints the answer as it arrives")
         .arg(Arg::new("PROMPT").required(true).help("The prompt"))
         .arg(
             Arg::new("node")
@@ -35,8 +35,16 @@
         )
         .arg(text_arg("account", "operator", "Client account"))
         .arg(text_arg("model", "m", "Model"))
-        .arg(text_arg("kind", "", "Kind of the request, for rules"))
-        .arg(number_arg("max-tokens", "512", "Most tokens of the answer"))
+        .arg(text_arg(
+            "kind",
+            "",
+            "Kind of the request, matched by rules",
+        ))
+        .arg(number_arg(
+            "max-tokens",
+            "512",
+            "Maximum length of the answer, in tokens",
+        ))
         .arg(number_arg(
             "deadline-ms",
             "60000",
@@ -102,7 +110,7 @@
             CallerEvent::Error(problem) => bail!(format_problem(&problem)),
         }
     }
-    bail!("the connection broke before the answer was whole (may-have-run)")
+    bail!("the connection broke before the answer was complete (may-have-run)")
 }
 
 fn format_problem(problem: &Problem) -> String {
@@ -111,7 +119,7 @@
         problem.title, problem.detail, problem.verdict
     );
     if let Some(ms) = problem.retry_after_ms {
-        text.push_str(&format!(", come back in {ms} ms"));
+        text.push_str(&format!(", retry in {ms} ms"));
     }
     text
 }
--- a/src/cmd/bad_input.rs
+++ b/src/cmd/bad_input.rs
@@ -1,8 +1,8 @@
-//! Input that can't be used.
+//! Error type for invalid input.
 
 use std::fmt;
 
-/// An error of the operator's input; the process exits with 2.
+/// The operator's input is invalid; the process exits with code 2.
 #[derive(Debug)]
 pub(crate) struct BadInput(pub(crate) String);
 
--- a/src/cmd/burn.rs
+++ b/src/cmd/burn.rs
@@ -1,4 +1,4 @@
-//! `burn`: service-level burn by client account and rule.
+//! `burn`: error-budget burn by client account and rule.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -17,14 +17,14 @@
 
 pub(crate) fn make_subcommand() -> Command {
     Command::new("burn")
-        .about("Reports how fast the error budgets of client accounts are spent")
+        .about("Reports how fast client accounts spend their error budgets")
         .arg(
             Arg::new("objective")
                 .long("objective")
                 .value_name("PERCENT")
                 .value_parser(value_parser!(f64))
                 .default_value("95")
-                .help("Part of the requests that must meet each objective, in percent"),
+                .help("Share of the requests that must meet each objective, in percent"),
         )
         .arg(
             Arg::new("json")
@@ -45,12 +45,12 @@
                 .long("plot")
                 .value_name("FILE")
                 .value_parser(value_parser!(PathBuf))
-                .help("Write an SVG plot of the burn of each account and rule"),
+                .help("Write an SVG plot of the burn by account and rule"),
         )
         .args(admin::args())
 }
 
-/// What is asked of every request.
+/// A service-level objective that each request meets or misses.
 #[derive(Clone, Copy)]
 pub(super) enum Objective {
     FirstToken,
@@ -77,7 +77,8 @@
         }
     }
 
-    /// How many times as fast as allowed the error budget is spent.
+    /// Burn rate: how fast the error budget is spent, relative to the rate that the objective allows. `budget` is the
+    /// allowed share of misses.
     pub(super) fn burn(self, counts: &Counts, budget: f64) -> f64 {
         if counts.requests == 0 {
             return 0.0;
@@ -105,7 +106,7 @@
     Ok(())
 }
 
-/// Counts of the nodes on the platform that are named, or else of the own interface's nodes.
+/// Merges the counts of the platform nodes given by `--node`; without the flag, gets them from the admin interface.
 async fn fetch_counts(args: &ArgMatches) -> Result<BurnReply> {
     let Some(nodes) = args.get_many::<SocketAddr>("node") else {
         return AdminClient::new(args).get("/admin/v1/burn").await;
@@ -159,7 +160,7 @@
     line
 }
 
-/// Name of a row's rule, or route on the platform.
+/// Name of a row's rule (or, on the platform, route).
 pub(super) fn rule_name(row: &BurnRow) -> &str {
     match row.rule.as_str() {
         "" => "(default)",
--- a/src/cmd/burn_plot.rs
+++ b/src/cmd/burn_plot.rs
@@ -1,4 +1,4 @@
-//! Plot of service-level burn.
+//! Plot of error-budget burn.
 
 use anyhow::{Result, anyhow};
 use azuresaddle_core::burn::BurnRow;
@@ -12,13 +12,13 @@
 /// Height of a row's bars, in pixels.
 const ROW_HEIGHT: u32 = 36;
 
-/// Height of caption and axis, in pixels.
+/// Height of the caption and the axis, in pixels.
 const FRAME_HEIGHT: u32 = 120;
 
-/// Draws the burn of the shortest window, a group of bars for each account and rule, as an SVG text.
+/// Draws the burn over the shortest window as an SVG document, with a group of bars for each account and rule.
 ///
 /// # Errors
-/// Where the drawing fails.
+/// If drawing fails.
 pub(super) fn draw(rows: &[BurnRow], budget: f64) -> Result<String> {
     let mut svg = String::new();
     draw_into(rows, budget, &mut svg).map_err(|e| anyhow!("plot: {e}"))?;
@@ -79,7 +79,7 @@
     Ok(())
 }
 
-/// Burn of a row's shortest window by objective.
+/// Burn over the shortest window of a row, for each objective.
 fn objective_burns(row: &BurnRow, budget: f64) -> Vec<f64> {
     let counts = row.windows.first().copied().unwrap_or_default();
     let burn = |objective: Objective| objective.burn(&counts, budget);
--- a/src/cmd/check.rs
+++ b/src/cmd/check.rs
@@ -1,4 +1,4 @@
-//! `check-settings` and `check-config`: faults by field, without starting anything.
+//! `check-settings` and `check-config`: check a file without starting a node; errors name the field.
 
 use std::path::PathBuf;
 
@@ -21,7 +21,7 @@
 
 pub(crate) fn make_settings_subcommand() -> Command {
     Command::new("check-settings")
-        .about("Reads a settings file of the platform and says what a node would take from it")
+        .about("Checks a settings file of the platform and prints what a node would use")
         .arg(file_arg("Settings file"))
 }
 
@@ -34,13 +34,16 @@
     print_line(format!("callers {}", settings.listen.callers));
     print_line(format!("directory {}", settings.listen.directory));
     print_line(format!("store {}", settings.store));
-    print_line(format!("grace of a stop {:?}", settings.bounds.stop_grace));
+    print_line(format!(
+        "stop grace period {:?}",
+        settings.bounds.stop_grace
+    ));
     Ok(())
 }
 
 pub(crate) fn make_config_subcommand() -> Command {
     Command::new("check-config")
-        .about("Reads a configuration as the operator writes it and says what it holds")
+        .about("Checks a configuration of the operator and prints a summary")
         .arg(file_arg("Configuration, as JSON"))
 }
 
--- a/src/cmd/hosts.rs
+++ b/src/cmd/hosts.rs
@@ -1,4 +1,4 @@
-//! `hosts`: hosts and their planned stops.
+//! `hosts`: lists hosts and plans their stops.
 
 use anyhow::Result;
 use azuresaddle_node::traffic::HostRow;
@@ -24,7 +24,7 @@
         )
         .subcommand(
             Command::new("plan-stop")
-                .about("Plans a graceful shutdown: no new work from then on, what runs ends")
+                .about("Plans a graceful shutdown: from then on no new work starts, and running work finishes")
                 .arg(host.clone())
                 .arg(
                     Arg::new("at")
@@ -32,7 +32,7 @@
                         .value_name("UNIX_MS")
                         .value_parser(value_parser!(u64))
                         .default_value("0")
-                        .help("When, in milliseconds since the Unix epoch; 0 for at once"),
+                        .help("Time of the stop, in milliseconds since the Unix epoch; 0 for immediately"),
                 )
                 .args(admin::args()),
         )
--- a/src/cmd/log_files.rs
+++ b/src/cmd/log_files.rs
@@ -1,11 +1,11 @@
-//! Log files on the command line.
+//! Log files given as arguments.
 
 use std::path::PathBuf;
 
 use anyhow::{Context, Result};
 use clap::{Arg, ArgAction, ArgMatches, value_parser};
 
-/// A log file and its text.
+/// A log file and its content.
 pub(crate) struct LogFile {
     pub(crate) path: PathBuf,
     pub(crate) text: String,
@@ -17,13 +17,13 @@
         .action(ArgAction::Append)
         .num_args(1..)
         .value_parser(value_parser!(PathBuf))
-        .help("Log of a node, one JSON object a line")
+        .help("Log file of a node, with one JSON object per line")
 }
 
-/// Reads all files that are named.
+/// Reads all given files.
 ///
 /// # Errors
-/// Where one can't be read; it is named.
+/// If a file can't be read; the error contains its path.
 pub(crate) fn read(args: &ArgMatches) -> Result<Vec<LogFile>> {
     let paths = args.get_many::<PathBuf>("FILE").expect("clap requires it");
     let read = |path: &PathBuf| {
--- a/src/cmd/losses.rs
+++ b/src/cmd/losses.rs
@@ -1,4 +1,4 @@
-//! `losses`: where requests lost their worth, out of the logs of all nodes.
+//! `losses`: reasons why requests lost worth, from the logs of all nodes.
 
 use std::collections::HashMap;
 
@@ -11,10 +11,10 @@
 
 pub(crate) fn make_subcommand() -> Command {
     Command::new("losses")
-        .about("Says why requests were late, refused or lost, by route, second and size")
+        .about("Shows why requests were late, refused or lost, by route, second and size")
         .after_help(
-            "Each try of a caller counts as a request. A request is worth 0.3 + 0.7 x its prompt \
-             against the mean of its route, at most 4, times the worth of the route.",
+            "Each attempt of a caller counts as a request. A request is worth 0.3 + 0.7 x (length of its \
+             prompt / mean of its route), at most 4, times the worth of the route.",
         )
         .arg(log_files::arg())
         .arg(
@@ -23,7 +23,7 @@
                 .value_name("ROUTE=WORTH")
                 .action(ArgAction::Append)
                 .value_parser(parse_worth)
-                .help("What a request of a route is worth [default: 1]"),
+                .help("Worth of a request of a route [default: 1]"),
         )
         .arg(
             Arg::new("seconds")
@@ -31,7 +31,7 @@
                 .value_name("N")
                 .value_parser(value_parser!(usize))
                 .default_value("10")
-                .help("Number of seconds to list, the dearest first"),
+                .help("Number of seconds to list, those with the greatest loss first"),
         )
 }
 
@@ -39,9 +39,9 @@
     let (route, worth) = text.split_once('=').ok_or("expected ROUTE=WORTH")?;
     let worth: f64 = worth
         .parse()
-        .map_err(|_| format!("{worth:?} is no number"))?;
+        .map_err(|_| format!("{worth:?} is not a number"))?;
     if !(worth.is_finite() && worth >= 0.0) {
-        return Err("a worth is a number of 0 or more".to_owned());
+        return Err("the worth must be a number of at least 0".to_owned());
     }
     Ok((route.to_owned(), worth))
 }
@@ -54,7 +54,7 @@
         worth.get(route).copied().unwrap_or(1.0)
     });
     if report.is_empty() {
-        bail!("no line tells of a request with a route");
+        bail!("no log line is about a request with a route");
     }
     print_reasons(&report);
     print_sizes(&report);
--- a/src/cmd/node.rs
+++ b/src/cmd/node.rs
@@ -1,4 +1,4 @@
-//! `node`: the daemon.
+//! `node`: the daemon that runs a node.
 
 use anyhow::{Result, anyhow};
 use azuresaddle_core::net::TcpNetwork;
@@ -11,12 +11,12 @@
 use super::BadInput;
 use super::node_settings::{self, print_settings, read_settings, traffic_threads};
 
-/// Formats of the log.
+/// Log formats; the first is the default.
 const LOG_FORMATS: [&str; 2] = ["text", "json"];
 
 pub(crate) fn make_subcommand() -> Command {
     Command::new("node")
-        .about("Runs a node; every setting is a flag or an environment variable")
+        .about("Runs a node; every setting can be given as a flag or an environment variable")
         .args(node_settings::args())
         .arg(
             Arg::new("log-format")
@@ -32,13 +32,13 @@
                 .env("AZURESADDLE_LOG_LEVEL")
                 .value_parser(["error", "warn", "info", "debug"])
                 .default_value("info")
-                .help("Least severe level that is logged"),
+                .help("Lowest severity that is logged"),
         )
         .arg(
             Arg::new("print-settings")
                 .long("print-settings")
                 .action(ArgAction::SetTrue)
-                .help("Print the settings in force and where each comes from, then exit"),
+                .help("Print the effective settings and the source of each, then exit"),
         )
 }
 
@@ -84,7 +84,7 @@
     let level = args
         .get_one::<String>("log-level")
         .map_or("info", String::as_str);
-    // Libraries log at their own levels; only this system's lines are wanted.
+    // The level applies to this project's crates only; libraries log errors only.
     let filter =
         format!("error,azuresaddle={level},azuresaddle_node={level},azuresaddle_store={level}");
     let builder = tracing_subscriber::fmt()
--- a/src/cmd/node_settings.rs
+++ b/src/cmd/node_settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the daemon, from flags and environment variables.
+//! Settings of `node`, from flags and environment variables.
 
 use std::fmt::Display;
 use std::net::{IpAddr, SocketAddr};
@@ -13,7 +13,7 @@
 
 use super::{BadInput, output};
 
-/// A flag of the daemon; its variable is its name in capitals after `AZURESADDLE_`.
+/// A flag of `node`. Its environment variable is `AZURESADDLE_` and the flag's name in capitals.
 struct Flag {
     name: &'static str,
     value_name: &'static str,
@@ -35,7 +35,7 @@
     }
 }
 
-/// Flags in the order of the help text.
+/// All flags, in the order of the help text.
 const FLAGS: [Flag; 19] = [
     flag(
         "name",
@@ -71,7 +71,7 @@
         "admin-token",
         "TOKEN",
         None,
-        "Bearer token of operators; needed beyond loopback",
+        "Bearer token of operators; required if admin-listen is not a loopback address",
     ),
     flag(
         "store",
@@ -89,37 +89,37 @@
         "metrics",
         "ADDR",
         None,
-        "Where metrics are sent over UDP; off unless given",
+        "Address to which metrics are sent over UDP; off by default",
     ),
     flag(
         "max-body-bytes",
         "BYTES",
         Some("16777216"),
-        "Longest request body, in bytes",
+        "Maximum size of a request body, in bytes",
     ),
     flag(
         "max-buffered-bytes",
         "BYTES",
         Some("536870912"),
-        "Most bytes of bodies held at a time",
+        "Maximum total size of buffered bodies, in bytes",
     ),
     flag(
         "max-connections",
         "N",
         Some("4096"),
-        "Most connections of callers at a time",
+        "Maximum number of concurrent connections of callers",
     ),
     flag(
         "body-timeout-ms",
         "MS",
         Some("10000"),
-        "Longest time for a head or body to arrive, in milliseconds",
+        "Time limit for receiving a request head or body, in milliseconds",
     ),
     flag(
         "address-ttl-ms",
         "MS",
         Some("5000"),
-        "How long callers may keep addresses, in milliseconds",
+        "How long callers may cache addresses, in milliseconds",
     ),
     flag(
         "lease-ttl-ms",
@@ -131,29 +131,29 @@
         "store-timeout-ms",
         "MS",
         Some("1000"),
-        "Longest wait for the store, in milliseconds",
+        "Timeout of calls to the store, in milliseconds",
     ),
     flag(
         "target-timeout-ms",
         "MS",
         Some("3000"),
-        "Longest silence of a target, in milliseconds",
+        "Silence of a target after which its connection counts as broken, in milliseconds",
     ),
     flag(
         "initial-prefill-rate",
         "TOKENS",
         Some("40000"),
-        "Prefill rate assumed of an engine until learned, in tokens a second",
+        "Prefill rate assumed for an engine until it is measured, in tokens per second",
     ),
     flag(
         "traffic-threads",
         "N",
         Some("4"),
-        "Threads for traffic; control has one of its own",
+        "Number of threads for traffic, in addition to one thread for control",
     ),
 ];
 
-/// The flags as arguments.
+/// The flags as clap arguments.
 pub(super) fn args() -> impl Iterator<Item = Arg> {
     FLAGS.iter().map(|flag| {
         let arg = Arg::new(flag.name)
@@ -178,7 +178,7 @@
     Ok(threads)
 }
 
-/// Reads the settings of a node; they are checked by [`Settings::check`].
+/// Reads the settings of a node, without the checks of [`Settings::check`].
 pub(super) fn read_settings(args: &ArgMatches) -> Result<Settings> {
     let addrs = NodeAddrs {
         listen: parse_addr(args, "listen")?,
@@ -204,7 +204,7 @@
     settings.initial_prefill_rate = parse(
         args,
         "initial-prefill-rate",
-        "must be a number of tokens a second",
+        "must be a number of tokens per second",
     )?;
     Ok(settings)
 }
@@ -212,7 +212,7 @@
 fn required<'a>(args: &'a ArgMatches, name: &'static str) -> Result<&'a str> {
     let value = args.get_one::<String>(name).map(String::as_str);
     value.filter(|v| !v.is_empty()).ok_or_else(|| {
-        let detail = format!("--{name} or {} is needed", env_variable(name));
+        let detail = format!("--{name} or {} is required", env_variable(name));
         BadInput(detail).into()
     })
 }
@@ -234,9 +234,9 @@
     let value = args.get_one::<String>(name).context("no address")?;
     let hint = match value.rsplit_once(':') {
         Some((host, _)) if host.parse::<IpAddr>().is_err() && !host.starts_with('[') => {
-            "must be an IP number and a port; names are not looked up"
+            "must be an IP address and a port; host names are not resolved"
         }
-        _ => "must be an IP number and a port, such as 10.0.0.1:7000",
+        _ => "must be an IP address and a port, such as 10.0.0.1:7000",
     };
     value.parse().map_err(|_| bad_value(name, value, hint))
 }
--- a/src/cmd/output.rs
+++ b/src/cmd/output.rs
@@ -1,13 +1,13 @@
-//! Results on standard output.
+//! Output of results to standard output.
 
 use std::io::Write;
 
-/// Prints a line; a closed pipe ends the output, not the process.
+/// Prints a line. Errors are ignored, so that a closed pipe does not end the process.
 pub(crate) fn print_line(text: impl AsRef<str>) {
     let _ = writeln!(std::io::stdout(), "{}", text.as_ref());
 }
 
-/// Prints text without a line end, at once.
+/// Prints text without a line break and flushes it.
 pub(crate) fn print_text(text: &str) {
     let mut out = std::io::stdout();
     let _ = out.write_all(text.as_bytes());
--- a/src/cmd/pools.rs
+++ b/src/cmd/pools.rs
@@ -1,4 +1,4 @@
-//! `pools`: pools, their owners and queues.
+//! `pools`: lists the pools with their owners and queues.
 
 use anyhow::Result;
 use azuresaddle_node::traffic::PoolRow;
@@ -10,7 +10,7 @@
 
 pub(crate) fn make_subcommand() -> Command {
     Command::new("pools")
-        .about("Lists pools with their owners and queues, as one node sees them")
+        .about("Lists the pools with their owners and queues, as known to one node")
         .args(admin::args())
 }
 
--- a/src/cmd/quarantine.rs
+++ b/src/cmd/quarantine.rs
@@ -1,4 +1,4 @@
-//! `quarantine`: requests that are kept from all targets, since they crash them.
+//! `quarantine`: requests that are not sent to any target because they crash targets.
 
 use std::net::SocketAddr;
 
@@ -20,21 +20,21 @@
         .value_parser(value_parser!(SocketAddr))
         .help("Metrics address of any node on the platform");
     Command::new("quarantine")
-        .about("Lists requests that are kept from all targets, and ends a quarantine early")
+        .about("Lists requests that are not sent to any target, and ends a quarantine early")
         .subcommand_required(true)
         .subcommand(
             Command::new("list")
-                .about("Lists all requests in quarantine, as the node knows them")
+                .about("Lists all requests in quarantine, as known to the node")
                 .arg(node.clone()),
         )
         .subcommand(
             Command::new("end")
-                .about("Ends the quarantine of a request on all nodes; new crashes begin another")
+                .about("Ends the quarantine of a request on all nodes; new crashes start another")
                 .arg(
                     Arg::new("FINGERPRINT")
                         .required(true)
                         .value_parser(value_parser!(Fingerprint))
-                        .help("The request, as the list and the logs name it"),
+                        .help("Fingerprint of the request, as in the list and the logs"),
                 )
                 .arg(node),
         )
@@ -77,7 +77,7 @@
             output::print_line(format!("quarantine of {request} ended"));
             Ok(())
         }
-        StatusCode::NOT_FOUND => bail!("nothing is held against {request} at this node"),
+        StatusCode::NOT_FOUND => bail!("the node has recorded no crashes for request {request}"),
         status => bail!("the node answered with status {status}"),
     }
 }
--- a/src/cmd/rules.rs
+++ b/src/cmd/rules.rs
@@ -1,4 +1,4 @@
-//! `rules`: the operators' rules.
+//! `rules`: checks, shows and changes the operators' rules.
 
 use std::path::PathBuf;
 
@@ -31,7 +31,7 @@
         )
         .subcommand(
             Command::new("put")
-                .about("Replaces the rules, if they still have the version they are based on")
+                .about("Replaces the rules, if the base version is still the current one")
                 .arg(file_arg("FILE", "The rules, as JSON"))
                 .arg(
                     Arg::new("base")
@@ -39,14 +39,14 @@
                         .value_name("VERSION")
                         .value_parser(value_parser!(u64))
                         .required(true)
-                        .help("Version that the change is based on; 0 for the first rules"),
+                        .help("Version that the change is based on; 0 if there are no rules yet"),
                 )
                 .arg(
                     Arg::new("comment")
                         .long("comment")
                         .value_name("TEXT")
                         .default_value("")
-                        .help("What is changed, for the history"),
+                        .help("Description of the change, for the history"),
                 )
                 .args(admin::args()),
         )
@@ -57,14 +57,14 @@
         )
         .subcommand(
             Command::new("explain")
-                .about("Says which rule decides about a request, and why the others do not")
+                .about("Shows which rule applies to a request, and why the others do not")
                 .arg(file_arg("FILE", "The request's properties, as JSON"))
                 .arg(
                     Arg::new("rules")
                         .long("rules")
                         .value_name("FILE")
                         .value_parser(value_parser!(PathBuf))
-                        .help("Rules to try in place of those in force"),
+                        .help("Rules to use instead of the active ones"),
                 )
                 .args(admin::args()),
         )
@@ -178,7 +178,10 @@
     AdminClient::new(args).get("/admin/v1/rules").await
 }
 
-/// Prints findings; errors among them make the input unusable.
+/// Prints the findings.
+///
+/// # Errors
+/// [`BadInput`] if one of the findings is an error.
 fn report_findings(report: &CheckReport) -> Result<()> {
     for finding in &report.findings {
         output::print_line(finding.to_string());
@@ -186,7 +189,7 @@
     if report.is_acceptable() {
         return Ok(());
     }
-    Err(BadInput("the rules are not acceptable".to_owned()).into())
+    Err(BadInput("the rules have errors".to_owned()).into())
 }
 
 fn read_file<T: DeserializeOwned>(args: &ArgMatches, name: &str) -> Result<T> {
--- a/src/cmd/serve.rs
+++ b/src/cmd/serve.rs
@@ -1,4 +1,4 @@
-//! `serve`: the daemon on the platform.
+//! `serve`: the daemon that runs a node on the platform.
 
 use std::path::PathBuf;
 
@@ -16,19 +16,19 @@
 
 use super::BadInput;
 
-/// Log lines that wait to be written; more are dropped and counted.
+/// Capacity of the queue of log lines; further lines are dropped and counted.
 const MAX_QUEUED_LINES: usize = 4096;
 
-/// The running log; the last lines are written when it is dropped.
+/// The log writer's thread; it writes the queued lines when this is dropped.
 struct LogWriter {
-    /// Lines that found the queue full.
+    /// Counts lines that were dropped because the queue was full.
     dropped: ErrorCounter,
     _guard: WorkerGuard,
 }
 
 pub(crate) fn make_subcommand() -> Command {
     Command::new("serve")
-        .about("Runs a node on the platform, by the settings file that the platform places")
+        .about("Runs a node on the platform, with the settings file that the platform provides")
         .arg(
             Arg::new("settings")
                 .long("settings")
@@ -45,7 +45,7 @@
                 .value_name("PORT")
                 .value_parser(clap::value_parser!(u16))
                 .default_value("9464")
-                .help("Port of the metrics page, at /metrics; 0 serves none"),
+                .help("Port on which metrics are served at /metrics; 0 disables it"),
         )
         .arg(
             Arg::new("without")
@@ -57,7 +57,7 @@
                 .value_parser(PossibleValuesParser::new(
                     Mechanism::ALL.map(Mechanism::name),
                 ))
-                .help("Mechanism of placement to switch off; may be given several times"),
+                .help("Placement mechanism to disable; may be given several times"),
         )
         .arg(
             Arg::new("log-level")
@@ -65,7 +65,7 @@
                 .env("AZURESADDLE_LOG_LEVEL")
                 .value_parser(["error", "warn", "info", "debug"])
                 .default_value("info")
-                .help("Least severe level that is logged"),
+                .help("Lowest severity that is logged"),
         )
 }
 
@@ -82,7 +82,7 @@
     };
     let without = options.without.iter().map(|m| m.name());
     let without = without.collect::<Vec<_>>().join(",");
-    // A host lets one thread run at a time, so traffic and control have one each.
+    // A host runs only one thread at a time, so traffic and control have one thread each.
     let traffic = single_thread_runtime()?;
     let control = single_thread_runtime()?;
     let control_handle = control.handle().clone();
@@ -113,7 +113,11 @@
         node.stop().await;
         let dropped = log.dropped.dropped_lines();
         if dropped > 0 {
-            tracing::warn!(part = "node", dropped, "log lines dropped");
+            tracing::warn!(
+                part = "node",
+                dropped,
+                "log lines were dropped because the queue was full"
+            );
         }
         Ok(())
     })
@@ -125,12 +129,24 @@
     parsed.collect()
 }
 
-/// Reads the settings file again. Addresses and bounds hold for the life of a process, so a change
-/// of them is only told.
+/// Reads the settings file again and logs whether it is valid. Addresses and bounds can't change while the process
+/// runs, so no change is applied.
 fn reload(path: &std::path::Path) {
     match read_settings(path) {
-        Ok(settings) => tracing::info!(part = "node", host = %settings.name, "settings read again"),
-        Err(e) => tracing::error!(part = "node", error = %e, "settings not read, the last stay"),
+        Ok(settings) => {
+            tracing::info!(
+                part = "node",
+                host = %settings.name,
+                "settings file read again; changes need a restart"
+            );
+        }
+        Err(e) => {
+            tracing::error!(
+                part = "node",
+                error = %e,
+                "settings file not read; the previous settings stay in effect"
+            );
+        }
     }
 }
 
@@ -138,8 +154,8 @@
     Ok(Builder::new_current_thread().enable_all().build()?)
 }
 
-/// Writes structured lines to standard output from a thread of their own, so that no request waits
-/// for whoever reads them.
+/// Starts logging JSON lines to standard output. A thread of its own writes them, so that a slow reader does not delay
+/// requests.
 fn init_log(args: &ArgMatches) -> LogWriter {
     let level = args
         .get_one::<String>("log-level")
--- a/src/cmd/trace.rs
+++ b/src/cmd/trace.rs
@@ -1,4 +1,4 @@
-//! `trace`: the life of one attempt, or of a request that comes again, out of the logs of several nodes.
+//! `trace`: log lines of several nodes about one attempt, or about all attempts of a request.
 
 use anyhow::{Result, bail};
 use clap::{Arg, ArgMatches, Command};
@@ -7,17 +7,15 @@
 use super::log_files;
 use super::output::print_line;
 
-/// Fields that begin a line; the others follow in the order of their names.
+/// Fields left out of the `name=value` pairs: the level is not printed, the others are at the start of the line.
 const LEADING_FIELDS: [&str; 4] = ["timestamp", "level", "part", "message"];
 
 pub(crate) fn make_subcommand() -> Command {
     Command::new("trace")
-        .about("Prints what the logs of several nodes say of one request, in order")
-        .arg(
-            Arg::new("REQUEST-ID").required(true).help(
-                "Id of one attempt, as the caller sent it, or the fingerprint of all attempts",
-            ),
-        )
+        .about("Prints the log lines of several nodes about one request, in order of time")
+        .arg(Arg::new("REQUEST-ID").required(true).help(
+            "Id of one attempt, as sent by the caller, or the fingerprint shared by all attempts",
+        ))
         .arg(log_files::arg())
 }
 
@@ -34,7 +32,7 @@
         lines.extend(text.filter_map(|text| format_if_matching(text, id, &name)));
     }
     if lines.is_empty() {
-        bail!("no line names the request {id:?}");
+        bail!("no log line contains the request {id:?}");
     }
     lines.sort();
     for (_, text) in lines {
@@ -43,7 +41,8 @@
     Ok(())
 }
 
-/// Time and text of a line that names the request or its fingerprint; lines that are no JSON are passed over.
+/// Returns the timestamp and the formatted text of a line about the request; `None` for other lines and for lines that
+/// are not JSON.
 fn format_if_matching(text: &str, id: &str, node: &str) -> Option<(String, String)> {
     let start = text.find('{')?;
     let fields: Map<String, Value> = serde_json::from_str(&text[start..]).ok()?;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! Command line of azuresaddle.
+//! The command-line program `azuresaddle`.
 
 mod cmd;
 
@@ -9,7 +9,7 @@
 /// Exit code of a command that failed.
 const EXIT_FAILED: u8 = 1;
 
-/// Exit code of a command whose input can't be used.
+/// Exit code of a command with invalid input.
 const EXIT_BAD_INPUT: u8 = 2;
 
 fn main() -> ExitCode {
@@ -44,8 +44,8 @@
 
 fn make_command() -> Command {
     Command::new("azuresaddle")
-        .about("Serving layer for prompts of very unlike lengths")
-        .after_help("Exit codes: 0 success, 1 failure, 2 input that can't be used.")
+        .about("Serving layer for prompts of very different lengths")
+        .after_help("Exit codes: 0 success, 1 failure, 2 invalid input.")
         .version(clap::crate_version!())
         .subcommand_required(true)
         .arg_required_else_help(true)
