--- a/crates/azuresaddle-edge/src/forward/attempt.rs
+++ b/crates/azuresaddle-edge/src/forward/attempt.rs
@@ -23,28 +23,28 @@
     /// The request never left this node.
     NotSent(String),
     /// The target has asked this node to back off; the request was not sent.
-    BacksOff,
+    InBackOff,
     /// The target says that it did not run the request.
     Declined {
         status: StatusCode,
         /// The target at fault, where another than the receiver.
-        at: Option<String>,
+        at_fault: Option<String>,
     },
     /// Another server answers at the address; it did not run the request.
     WrongTarget,
     /// The request may have run.
     Broken(String),
     /// No answer in the time given; the request may have run.
-    Silent,
+    TimedOut,
 }
 
 impl SendFailure {
     pub(super) fn verdict(&self) -> Verdict {
         match self {
-            Self::NotSent(_) | Self::BacksOff | Self::Declined { .. } | Self::WrongTarget => {
+            Self::NotSent(_) | Self::InBackOff | Self::Declined { .. } | Self::WrongTarget => {
                 Verdict::NotRun
             }
-            Self::Broken(_) | Self::Silent => Verdict::MayHaveRun,
+            Self::Broken(_) | Self::TimedOut => Verdict::MayHaveRun,
         }
     }
 
@@ -52,17 +52,17 @@
     pub(super) fn label(&self) -> &'static str {
         match self {
             Self::NotSent(_) => "not-sent",
-            Self::BacksOff => "held-back",
+            Self::InBackOff => "held-back",
             Self::Declined { .. } => "declined",
             Self::WrongTarget => "wrong-target",
             Self::Broken(_) => "broken",
-            Self::Silent => "silent",
+            Self::TimedOut => "silent",
         }
     }
 
     /// Whether the target has seen the request.
-    pub(super) fn has_arrived(&self) -> bool {
-        !matches!(self, Self::NotSent(_) | Self::BacksOff)
+    pub(super) fn reached_target(&self) -> bool {
+        !matches!(self, Self::NotSent(_) | Self::InBackOff)
     }
 }
 
@@ -70,15 +70,18 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             Self::NotSent(reason) => write!(f, "not sent: {reason}"),
-            Self::BacksOff => f.write_str("not sent: the target has asked to back off"),
-            Self::Declined { status, at: None } => write!(f, "declined with {status}"),
+            Self::InBackOff => f.write_str("not sent: the target has asked to back off"),
             Self::Declined {
                 status,
-                at: Some(at),
-            } => write!(f, "declined with {status} because of {at}"),
+                at_fault: None,
+            } => write!(f, "declined with {status}"),
+            Self::Declined {
+                status,
+                at_fault: Some(target),
+            } => write!(f, "declined with {status} because of {target}"),
             Self::WrongTarget => f.write_str("another server has the address"),
             Self::Broken(reason) => write!(f, "broken: {reason}"),
-            Self::Silent => f.write_str("no answer in time"),
+            Self::TimedOut => f.write_str("no answer in time"),
         }
     }
 }
@@ -93,16 +96,16 @@
     connection: &mut Connection,
     req: Request<Full<Bytes>>,
     attempt_id: &hyper::header::HeaderValue,
-    patience: Duration,
+    timeout: Duration,
 ) -> Result<Response<Incoming>, SendFailure> {
     // It may have been announced to another request while this one waited for a connection.
     if cx.health.back_offs().until(&target.id).is_some() {
-        return Err(SendFailure::BacksOff);
+        return Err(SendFailure::InBackOff);
     }
     let sent_at = Instant::now();
     let sending = connection.sender().try_send_request(req);
-    let response = match tokio::time::timeout(patience, sending).await {
-        Err(_) => return Err(SendFailure::Silent),
+    let response = match tokio::time::timeout(timeout, sending).await {
+        Err(_) => return Err(SendFailure::TimedOut),
         Ok(Err(mut e)) => {
             let was_written = e.take_message().is_none();
             let reason = e.into_error().to_string();
@@ -119,7 +122,7 @@
     if matches!(checked, Ok(()) | Err(SendFailure::Declined { .. })) {
         let status = response.status();
         let is_served = status.is_success();
-        cx.note_signals(target, sent_at, status, response.headers(), is_served);
+        cx.record_signals(target, sent_at, status, response.headers(), is_served);
     }
     checked.map(|()| response)
 }
@@ -138,17 +141,17 @@
     }
     let status = response.status();
     if status == StatusCode::MISDIRECTED_REQUEST {
-        return Err(match at_target(map) {
-            Some(at) => SendFailure::Declined {
+        return Err(match target_at_fault(map) {
+            Some(target) => SendFailure::Declined {
                 status,
-                at: Some(at),
+                at_fault: Some(target),
             },
             None => SendFailure::WrongTarget,
         });
     }
     if map.contains_key(&headers::NOT_RUN) {
-        let at = at_target(map);
-        return Err(SendFailure::Declined { status, at });
+        let at_fault = target_at_fault(map);
+        return Err(SendFailure::Declined { status, at_fault });
     }
     if map.get(&headers::ATTEMPT_ID).is_none() {
         return Err(SendFailure::Broken("answer without its request".to_owned()));
@@ -156,13 +159,13 @@
     Ok(())
 }
 
-fn at_target(map: &HeaderMap) -> Option<String> {
+fn target_at_fault(map: &HeaderMap) -> Option<String> {
     let at = map.get(&headers::AT_TARGET)?.to_str().ok()?;
     Some(at.to_owned())
 }
 
 /// How long the target keeps the connection; `None` where it closes it after this answer.
-pub(super) fn kept_for(map: &HeaderMap) -> Option<Kept> {
+pub(super) fn keep_alive(map: &HeaderMap) -> Option<KeepAlive> {
     let closes = map.get_all(CONNECTION).iter().any(|v| {
         v.to_str()
             .is_ok_and(|v| v.split(',').any(|t| t.trim().eq_ignore_ascii_case("close")))
@@ -176,14 +179,14 @@
             .find_map(|p| p.trim().strip_prefix("timeout="))
             .and_then(|s| s.trim().parse().ok())
     });
-    Some(Kept(seconds.map(Duration::from_secs)))
+    Some(KeepAlive(seconds.map(Duration::from_secs)))
 }
 
 /// Time for which a target keeps a connection, where it says.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Kept(pub(super) Option<Duration>);
+pub(super) struct KeepAlive(pub(super) Option<Duration>);
 
 /// The time left until a moment.
-pub(super) fn until(at: Instant) -> Duration {
+pub(super) fn time_until(at: Instant) -> Duration {
     at.saturating_duration_since(Instant::now())
 }
--- a/crates/azuresaddle-edge/src/forward/body.rs
+++ b/crates/azuresaddle-edge/src/forward/body.rs
@@ -14,16 +14,16 @@
 /// The answer ends before it is complete; the connection is closed so that the caller sees it.
 #[derive(Clone, Copy, Debug, Error)]
 #[error("the answer broke off")]
-pub(crate) struct BrokenOff;
+pub(crate) struct AnswerAborted;
 
 /// Counts answers that are not finished.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct InFlight(Arc<AtomicUsize>);
+pub(crate) struct InFlightAnswers(Arc<AtomicUsize>);
 
-impl InFlight {
-    pub(crate) fn begin(&self) -> InFlightGuard {
+impl InFlightAnswers {
+    pub(crate) fn begin(&self) -> InFlightAnswerGuard {
         self.0.fetch_add(1, Ordering::Relaxed);
-        InFlightGuard(Arc::clone(&self.0))
+        InFlightAnswerGuard(Arc::clone(&self.0))
     }
 
     pub(crate) fn count(&self) -> usize {
@@ -33,9 +33,9 @@
 
 /// An answer that is not finished.
 #[derive(Debug)]
-pub(crate) struct InFlightGuard(Arc<AtomicUsize>);
+pub(crate) struct InFlightAnswerGuard(Arc<AtomicUsize>);
 
-impl Drop for InFlightGuard {
+impl Drop for InFlightAnswerGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
@@ -43,7 +43,7 @@
 
 /// A piece of a relayed answer.
 #[derive(Clone, Debug)]
-pub(crate) enum Piece {
+pub(crate) enum BodyChunk {
     /// Bytes to pass on.
     Data(Bytes),
     /// The answer is complete; a relay that stops without it has broken off.
@@ -55,14 +55,14 @@
 pub(crate) struct ProxyBody {
     kind: BodyKind,
     /// Dropped when the answer is written or given up.
-    in_flight: Option<InFlightGuard>,
+    in_flight: Option<InFlightAnswerGuard>,
 }
 
 #[derive(Debug)]
 enum BodyKind {
     Whole(Option<Bytes>),
     Relayed {
-        pieces: mpsc::Receiver<Piece>,
+        chunks: mpsc::Receiver<BodyChunk>,
         /// Cancels the relay when the caller leaves.
         _cancel: DropGuard,
     },
@@ -76,10 +76,10 @@
         }
     }
 
-    pub(crate) fn relayed(pieces: mpsc::Receiver<Piece>, cancel: DropGuard) -> Self {
+    pub(crate) fn relayed(chunks: mpsc::Receiver<BodyChunk>, cancel: DropGuard) -> Self {
         Self {
             kind: BodyKind::Relayed {
-                pieces,
+                chunks,
                 _cancel: cancel,
             },
             in_flight: None,
@@ -87,7 +87,7 @@
     }
 
     /// Counts the answer as in flight until this body is dropped.
-    pub(crate) fn counted(mut self, guard: InFlightGuard) -> Self {
+    pub(crate) fn with_in_flight_guard(mut self, guard: InFlightAnswerGuard) -> Self {
         self.in_flight = Some(guard);
         self
     }
@@ -95,23 +95,23 @@
 
 impl Body for ProxyBody {
     type Data = Bytes;
-    type Error = BrokenOff;
+    type Error = AnswerAborted;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokenOff>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, AnswerAborted>>> {
         match &mut self.kind {
             BodyKind::Whole(bytes) => {
                 let bytes = bytes.take().filter(|b| !b.is_empty());
                 Poll::Ready(bytes.map(|b| Ok(Frame::data(b))))
             }
-            BodyKind::Relayed { pieces, .. } => {
-                let piece = std::task::ready!(pieces.poll_recv(cx));
-                Poll::Ready(match piece {
-                    Some(Piece::Data(bytes)) => Some(Ok(Frame::data(bytes))),
-                    Some(Piece::End) => None,
-                    None => Some(Err(BrokenOff)),
+            BodyKind::Relayed { chunks, .. } => {
+                let chunk = std::task::ready!(chunks.poll_recv(cx));
+                Poll::Ready(match chunk {
+                    Some(BodyChunk::Data(bytes)) => Some(Ok(Frame::data(bytes))),
+                    Some(BodyChunk::End) => None,
+                    None => Some(Err(AnswerAborted)),
                 })
             }
         }
--- a/crates/azuresaddle-edge/src/forward/choose.rs
+++ b/crates/azuresaddle-edge/src/forward/choose_target.rs
@@ -20,16 +20,16 @@
         loop {
             let snapshot = self.snapshots.load();
             let targets = snapshot.targets.of_service(service);
-            let (target, busy) = self.health.pick(targets, exclude, &self.domain)?;
+            let (target, in_flight) = self.health.pick(targets, exclude, &self.domain)?;
             let Some(limit) = snapshot.rate_limits.get(&target.id).copied() else {
-                return Some((target, busy));
+                return Some((target, in_flight));
             };
             let ask = PermitRequest {
                 target: target.id.clone(),
                 limit,
             };
             match self.placement.permit(ask).await {
-                Ok(()) => return Some((target, busy)),
+                Ok(()) => return Some((target, in_flight)),
                 Err(wait) => {
                     self.metrics.on_held_back(service, "rate-limit");
                     self.health.on_limited(&target.id, wait);
--- a/crates/azuresaddle-edge/src/forward/crash_check.rs
+++ b/crates/azuresaddle-edge/src/forward/crash_check.rs
@@ -9,15 +9,15 @@
 use azuresaddle_sched::quarantine::{SURVIVAL_TIME, SuccessfulRun};
 use tokio::time::Instant;
 
-use super::attempt::until;
-use super::breaks::Break;
+use super::attempt::time_until;
+use super::broken_sends::BrokenSend;
 use super::forwarder::Forwarder;
 use super::head::ForwardRequest;
 use crate::targets::ConnectError;
 
 /// Longest wait for a connection to a target that gave no answer: many times a round trip, and the caller waits
 /// meanwhile.
-const TIMEOUT: Duration = Duration::from_millis(100);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// Notes that a target gave no answer to a request that it may have run: it may have ended by it.
 pub(super) async fn check_for_crash<N: Network>(
@@ -27,7 +27,7 @@
     sent_at: Instant,
 ) {
     // At its deadline a caller is not kept waiting for more.
-    if !until(req.deadline).is_zero() && has_ended(cx, target).await {
+    if !time_until(req.deadline).is_zero() && has_ended(cx, target).await {
         tracing::info!(
             part = "forward",
             request = req.head.id(),
@@ -38,10 +38,10 @@
         cx.metrics.on_target_crash(&req.service);
         cx.quarantine.on_crash(req.fingerprint, target, sent_at);
     } else {
-        let attempt = req.head.id().to_owned();
-        cx.breaks.push(Break {
-            attempt,
-            request: req.fingerprint,
+        let attempt_id = req.head.id().to_owned();
+        cx.broken_sends.push(BrokenSend {
+            attempt_id,
+            fingerprint: req.fingerprint,
             target: target.clone(),
             sent_at,
             broken_at: Instant::now(),
@@ -51,7 +51,7 @@
 
 /// Notes that a run came to a good end, once it is known whether its target survived it: an answer may be whole although
 /// the target goes down by it right after.
-pub(super) fn note_good_end<N: Network>(
+pub(super) fn record_good_end<N: Network>(
     cx: &Arc<Forwarder<N>>,
     req: &ForwardRequest,
     target: &TargetEntry,
@@ -89,7 +89,7 @@
 async fn has_ended<N: Network>(cx: &Forwarder<N>, target: &TargetEntry) -> bool {
     let share = cx.connection_share(target);
     let connect = cx.connections.checkout_new(&target.id, target.addr, share);
-    match tokio::time::timeout(TIMEOUT, connect).await {
+    match tokio::time::timeout(CONNECT_TIMEOUT, connect).await {
         Ok(Ok(connection)) => {
             connection.return_to_pool(None);
             false
@@ -101,18 +101,18 @@
 }
 
 /// Notes crashes that show only now: a target of an unexplained break has started again.
-pub(super) fn note_late_crashes<N: Network>(cx: &Forwarder<N>) {
+pub(super) fn record_late_crashes<N: Network>(cx: &Forwarder<N>) {
     let snapshot = cx.snapshots.load();
-    for broken in cx.breaks.take_ended(&snapshot.targets) {
+    for broken in cx.broken_sends.take_ended(&snapshot.targets) {
         tracing::info!(
             part = "forward",
-            request = broken.attempt,
-            fingerprint = %broken.request,
+            request = broken.attempt_id,
+            fingerprint = %broken.fingerprint,
             target = %broken.target.id,
             "target had ended"
         );
         cx.metrics.on_target_crash(&broken.target.service);
         cx.quarantine
-            .on_crash(broken.request, &broken.target, broken.sent_at);
+            .on_crash(broken.fingerprint, &broken.target, broken.sent_at);
     }
 }
--- a/crates/azuresaddle-edge/src/forward/caller_watch.rs
+++ b/crates/azuresaddle-edge/src/forward/disconnect_log.rs
@@ -7,40 +7,40 @@
 
 /// Logs on drop, unless the answer was complete.
 #[derive(Debug)]
-pub(super) struct CallerWatch {
+pub(super) struct DisconnectLog {
     request: String,
     arrived: Instant,
-    is_done: Arc<AtomicBool>,
+    is_complete: Arc<AtomicBool>,
 }
 
 /// Marks an answer as complete; cheap to clone.
 #[derive(Clone, Debug)]
-pub(super) struct Completion(Arc<AtomicBool>);
+pub(super) struct CompletionFlag(Arc<AtomicBool>);
 
-impl CallerWatch {
+impl DisconnectLog {
     pub(super) fn new(request: &str, arrived: Instant) -> Self {
         Self {
             request: request.to_owned(),
             arrived,
-            is_done: Arc::default(),
+            is_complete: Arc::default(),
         }
     }
 
-    pub(super) fn completion(&self) -> Completion {
-        Completion(Arc::clone(&self.is_done))
+    pub(super) fn completion(&self) -> CompletionFlag {
+        CompletionFlag(Arc::clone(&self.is_complete))
     }
 }
 
-impl Completion {
+impl CompletionFlag {
     /// Notes that the caller has, or is about to get, its final answer.
     pub(super) fn set(&self) {
         self.0.store(true, Ordering::Relaxed);
     }
 }
 
-impl Drop for CallerWatch {
+impl Drop for DisconnectLog {
     fn drop(&mut self) {
-        if self.is_done.load(Ordering::Relaxed) {
+        if self.is_complete.load(Ordering::Relaxed) {
             return;
         }
         tracing::info!(
--- a/crates/azuresaddle-edge/src/forward/event_splitter.rs
+++ b/crates/azuresaddle-edge/src/forward/event_splitter.rs
@@ -48,7 +48,7 @@
     }
 
     /// Whether bytes of an unfinished event are left.
-    pub(super) fn has_rest(&self) -> bool {
+    pub(super) fn has_partial_event(&self) -> bool {
         !self.buf.is_empty()
     }
 }
--- a/crates/azuresaddle-edge/src/forward/forwarder.rs
+++ b/crates/azuresaddle-edge/src/forward/forwarder.rs
@@ -10,9 +10,9 @@
 use tokio::time::Instant;
 
 use super::body::ProxyBody;
-use super::breaks::Breaks;
-use super::caller_watch::CallerWatch;
-use super::crash_check::note_late_crashes;
+use super::broken_sends::BrokenSends;
+use super::crash_check::record_late_crashes;
+use super::disconnect_log::DisconnectLog;
 use super::head::ForwardRequest;
 use super::pace_check::run_pace_checks;
 use super::plain::forward_plain;
@@ -43,11 +43,11 @@
     pub(super) placement: Arc<PlacementClient<N>>,
     pub(super) connections: ConnectionPool<N>,
     pub(super) health: Arc<TargetHealth>,
-    pub(super) retries: RetryBudget,
+    pub(super) retry_budget: RetryBudget,
     pub(super) quarantine: Arc<SharedQuarantine>,
     /// Signals in targets' answers, for control.
     pub(super) signals: mpsc::Sender<ObservedSignals>,
-    pub(super) breaks: Breaks,
+    pub(super) broken_sends: BrokenSends,
     pub(super) bounds: Bounds,
     pub(super) metrics: Metrics,
     pub(super) burn: Arc<BurnRecorder>,
@@ -72,10 +72,10 @@
             snapshots,
             placement,
             health: Arc::default(),
-            retries: RetryBudget::new(bounds),
+            retry_budget: RetryBudget::new(bounds),
             quarantine,
             signals,
-            breaks: Breaks::default(),
+            broken_sends: BrokenSends::default(),
             bounds,
             metrics,
             burn: Arc::default(),
@@ -88,23 +88,23 @@
     pub(crate) fn check_paces(
         self: &Arc<Self>,
         owner: Arc<Owner>,
-        questions: mpsc::Receiver<HostName>,
+        engines: mpsc::Receiver<HostName>,
     ) {
-        let checks = run_pace_checks(Arc::clone(self), owner, questions);
+        let checks = run_pace_checks(Arc::clone(self), owner, engines);
         self.spawner.spawn(checks);
     }
 
     /// Relays one request.
     pub(crate) async fn forward(self: &Arc<Self>, req: ForwardRequest) -> Response<ProxyBody> {
-        self.retries.on_request(&req.service);
+        self.retry_budget.on_request(&req.service);
         let service = Arc::clone(&req.service);
         let arrived = req.arrived;
         let response = if req.route.is_stream {
             forward_stream(Arc::clone(self), req).await
         } else {
-            let watch = CallerWatch::new(req.head.id(), req.arrived);
+            let disconnect_log = DisconnectLog::new(req.head.id(), req.arrived);
             let response = forward_plain(self, &req).await;
-            watch.completion().set();
+            disconnect_log.completion().set();
             self.record_plain(&req, response.status());
             response
         };
@@ -160,9 +160,9 @@
     }
 
     /// Takes one repeat from the node's share of the budget.
-    pub(super) fn may_repeat(&self, service: &Arc<str>) -> bool {
+    pub(super) fn try_take_retry(&self, service: &Arc<str>) -> bool {
         let nodes = self.snapshots.load().nodes.len();
-        self.retries.take(service, nodes)
+        self.retry_budget.try_take(service, nodes)
     }
 
     /// Speeds and sizes of a service's engines; `None` for a plain service.
@@ -186,7 +186,7 @@
             if Arc::ptr_eq(&known, &snapshot.targets) {
                 continue;
             }
-            note_late_crashes(&self);
+            record_late_crashes(&self);
             let before = std::mem::replace(&mut known, Arc::clone(&snapshot.targets));
             let is_known = |id: &HostName| snapshot.targets.get(id).is_some();
             self.connections.retain(is_known);
--- a/crates/azuresaddle-edge/src/forward/head.rs
+++ b/crates/azuresaddle-edge/src/forward/head.rs
@@ -29,7 +29,7 @@
 ];
 
 /// Headers that the node sets itself, whatever the caller sent.
-const OWN: [HeaderName; 8] = [
+const NODE_HEADERS: [HeaderName; 8] = [
     AUTHORIZATION,
     CONTENT_LENGTH,
     headers::TIME_LEFT_MS,
@@ -81,7 +81,7 @@
     ) -> Self {
         let last_event_id = map.get(&headers::LAST_EVENT_ID).cloned();
         strip_hop_by_hop(&mut map);
-        for name in &OWN {
+        for name in &NODE_HEADERS {
             map.remove(name);
         }
         Self {
@@ -148,7 +148,7 @@
     }
 
     /// Prompt tokens and expected answer tokens, where the request says them.
-    pub(crate) fn tokens(&self) -> Option<(u64, u64)> {
+    pub(crate) fn token_counts(&self) -> Option<(u64, u64)> {
         let map = &self.head.headers;
         let (prompt, most) = headers::parse_token_counts(map.get(&headers::TOKEN_COUNTS)?)?;
         let estimate = map
@@ -158,22 +158,25 @@
     }
 
     /// The request for one target.
-    pub(super) fn for_target(&self, to: &Sending<'_>) -> Request<Full<Bytes>> {
+    pub(super) fn for_target(&self, options: &SendOptions<'_>) -> Request<Full<Bytes>> {
         let mut req = Request::new(Full::new(self.body.clone()));
         *req.method_mut() = self.head.method.clone();
         *req.uri_mut() = self.head.uri.clone();
         let mut map = self.head.headers.clone();
         let left_ms = self.time_left().as_millis().max(1);
-        map.insert(headers::TIME_LEFT_MS, text(&left_ms.to_string()));
-        map.insert(headers::EXPECTED_TARGET, text(to.target.as_str()));
+        map.insert(headers::TIME_LEFT_MS, header_value(&left_ms.to_string()));
+        map.insert(
+            headers::EXPECTED_TARGET,
+            header_value(options.target.as_str()),
+        );
         if let Some(account) = &self.account {
-            map.insert(headers::ACCOUNT, text(account.name.as_str()));
+            map.insert(headers::ACCOUNT, header_value(account.name.as_str()));
         }
-        if let Some(id) = to.last_event_id {
+        if let Some(id) = options.last_event_id {
             map.insert(headers::LAST_EVENT_ID, id.clone());
         }
-        if let Some(helpers) = to.helpers {
-            map.insert(headers::HELPERS, text(helpers));
+        if let Some(helpers) = options.helpers {
+            map.insert(headers::HELPERS, header_value(helpers));
         }
         *req.headers_mut() = map;
         req
@@ -182,7 +185,7 @@
 
 /// What differs between the sends of one request.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Sending<'a> {
+pub(super) struct SendOptions<'a> {
     pub(super) target: &'a HostName,
     pub(super) last_event_id: Option<&'a HeaderValue>,
     pub(super) helpers: Option<&'a str>,
@@ -190,6 +193,6 @@
 
 /// A header value of text that the platform or this node made; an unusable one is left empty, and
 /// the target refuses it.
-fn text(value: &str) -> HeaderValue {
+fn header_value(value: &str) -> HeaderValue {
     HeaderValue::from_str(value).unwrap_or_else(|_| HeaderValue::from_static(""))
 }
--- a/crates/azuresaddle-edge/src/forward/mod.rs
+++ b/crates/azuresaddle-edge/src/forward/mod.rs
@@ -1,17 +1,17 @@
 //! Relays requests to targets.
 
-mod answer;
 mod attempt;
 mod body;
-mod breaks;
-mod caller_watch;
-mod choose;
+mod broken_sends;
+mod choose_target;
 mod crash_check;
+mod disconnect_log;
 mod event_splitter;
 mod forwarder;
 mod head;
 mod pace_check;
 mod plain;
+mod problem;
 mod reservations;
 mod retry_budget;
 mod signals;
@@ -20,7 +20,7 @@
 #[cfg(test)]
 mod tests;
 
-pub(crate) use answer::{own_answer, refusal};
-pub(crate) use body::{BrokenOff, InFlight, ProxyBody};
+pub(crate) use body::{AnswerAborted, InFlightAnswers, ProxyBody};
 pub(crate) use forwarder::{Forwarder, ForwarderParts};
 pub(crate) use head::{ForwardRequest, RequestHead, fingerprint_of};
+pub(crate) use problem::{problem_response, refusal};
--- a/crates/azuresaddle-edge/src/forward/pace_check.rs
+++ b/crates/azuresaddle-edge/src/forward/pace_check.rs
@@ -15,14 +15,14 @@
 pub(super) async fn run_pace_checks<N: Network>(
     cx: Arc<Forwarder<N>>,
     owner: Arc<Owner>,
-    mut questions: mpsc::Receiver<HostName>,
+    mut engines: mpsc::Receiver<HostName>,
 ) {
-    while let Some(engine) = questions.recv().await {
+    while let Some(engine) = engines.recv().await {
         let cx = Arc::clone(&cx);
         let owner = Arc::clone(&owner);
         let tasks = cx.spawner.clone();
         tasks.spawn(async move {
-            match ask(&cx, &engine).await {
+            match fetch_report(&cx, &engine).await {
                 Ok(report) => owner.on_pace(&engine, &report),
                 Err(e) => tracing::info!(
                     part = "placement",
@@ -35,7 +35,7 @@
     }
 }
 
-async fn ask<N: Network>(
+async fn fetch_report<N: Network>(
     cx: &Arc<Forwarder<N>>,
     engine: &HostName,
 ) -> Result<EngineReport, SendFailure> {
--- a/crates/azuresaddle-edge/src/forward/plain.rs
+++ b/crates/azuresaddle-edge/src/forward/plain.rs
@@ -13,12 +13,12 @@
 use hyper::{Response, StatusCode};
 use tokio::time::Instant;
 
-use super::answer::{own_answer, refusal};
-use super::attempt::{SendFailure, kept_for, send, until};
+use super::attempt::{SendFailure, keep_alive, send, time_until};
 use super::body::ProxyBody;
-use super::crash_check::{check_for_crash, note_good_end};
+use super::crash_check::{check_for_crash, record_good_end};
 use super::forwarder::Forwarder;
-use super::head::{ForwardRequest, Sending, strip_hop_by_hop};
+use super::head::{ForwardRequest, SendOptions, strip_hop_by_hop};
+use super::problem::{problem_response, refusal};
 
 /// Longest answer that is taken, in bytes.
 const MAX_ANSWER_BYTES: usize = 8 << 20;
@@ -27,7 +27,7 @@
 const MAX_DECLINED: u32 = 4;
 
 /// Time for an idempotent request's first send, in latency targets; then another target is tried.
-const FIRST_SEND_PATIENCE: f64 = 1.6;
+const FIRST_SEND_TIMEOUT_FACTOR: f64 = 1.6;
 
 /// Time to come back after all targets declined: about one request's work.
 const DECLINED_RETRY_AFTER: Duration = Duration::from_millis(150);
@@ -36,7 +36,7 @@
 const NO_TARGET_RETRY_AFTER: Duration = Duration::from_millis(300);
 
 /// Tells why a request is not sent on.
-pub(super) const QUARANTINED: &str = "targets crash when they run this request";
+pub(super) const QUARANTINE_DETAIL: &str = "targets crash when they run this request";
 
 /// Whole answer of a target.
 struct TargetAnswer {
@@ -64,38 +64,38 @@
     cx: &Arc<Forwarder<N>>,
     req: &ForwardRequest,
 ) -> Response<ProxyBody> {
-    let mut tries = Tries::default();
+    let mut history = SendHistory::default();
     loop {
-        if until(req.deadline).is_zero() {
-            return tries.give_up(cx, req, StatusCode::GATEWAY_TIMEOUT, "no answer in time");
+        if time_until(req.deadline).is_zero() {
+            return history.give_up(cx, req, StatusCode::GATEWAY_TIMEOUT, "no answer in time");
         }
         if let RequestStatus::Quarantined { left } = cx.quarantine.standing(req.fingerprint) {
-            note_quarantined(cx, req);
-            return tries.refuse_quarantined(cx, req, left);
+            record_quarantine_refusal(cx, req);
+            return history.refuse_quarantined(cx, req, left);
         }
-        let chosen = cx.choose_target(&req.service, &tries.exclude).await;
-        let Some((target, busy)) = chosen else {
-            return tries.give_up(
+        let chosen = cx.choose_target(&req.service, &history.exclude).await;
+        let Some((target, in_flight)) = chosen else {
+            return history.give_up(
                 cx,
                 req,
                 StatusCode::BAD_GATEWAY,
                 "no target takes the request",
             );
         };
-        let may_repeat = req.is_idempotent() && tries.runs + 1 < req.route.max_attempts;
-        let patience = patience(req, may_repeat);
+        let may_retry = req.is_idempotent() && history.runs + 1 < req.route.max_attempts;
+        let timeout = send_timeout(req, may_retry);
         let started = Instant::now();
-        let result = send_plain(cx, req, &target, patience).await;
-        drop(busy);
+        let result = send_plain(cx, req, &target, timeout).await;
+        drop(in_flight);
         if result.as_ref().is_ok_and(|a| a.status.is_success()) {
-            note_good_end(cx, req, &target, started);
+            record_good_end(cx, req, &target, started);
         }
         match result {
-            Ok(answer) if answer.is_failure() && may_repeat && cx.may_repeat(&req.service) => {
+            Ok(answer) if answer.is_failure() && may_retry && cx.try_take_retry(&req.service) => {
                 cx.health.on_answer(&target.id, started.elapsed());
-                tries.runs += 1;
-                tries.exclude.push(target.id.clone());
-                tries.last_failure = Some(answer);
+                history.runs += 1;
+                history.exclude.push(target.id.clone());
+                history.last_failure = Some(answer);
             }
             Ok(answer) => {
                 cx.metrics.on_send(&req.service, "answered");
@@ -105,7 +105,7 @@
                     route = %req.route.name,
                     target = %target.id,
                     status = answer.status.as_u16(),
-                    sends = tries.runs + tries.declined + 1,
+                    sends = history.runs + history.declined + 1,
                     target_ms = req.route.latency_target.as_millis() as u64,
                     age_ms = req.arrived.elapsed().as_millis() as u64,
                     "answered"
@@ -114,7 +114,7 @@
                 return answer.into_response();
             }
             Err(failure) => {
-                note_failure(cx, &target, &failure);
+                record_failure(cx, &target, &failure);
                 if failure.verdict() == Verdict::MayHaveRun {
                     check_for_crash(cx, req, &target, started).await;
                 }
@@ -124,11 +124,11 @@
                     fingerprint = %req.fingerprint,
                     target = %target.id,
                     failure = %failure,
-                    sends = tries.runs + tries.declined + 1,
+                    sends = history.runs + history.declined + 1,
                     "send failed"
                 );
-                if !tries.may_go_on(cx, req, &target.id, &failure) {
-                    return tries.give_up_after(cx, req, &failure);
+                if !history.may_send_again(cx, req, &target.id, &failure) {
+                    return history.give_up_after(cx, req, &failure);
                 }
             }
         }
@@ -136,20 +136,20 @@
 }
 
 /// Time for one send.
-fn patience(req: &ForwardRequest, may_repeat: bool) -> Duration {
-    let left = until(req.deadline);
-    if !may_repeat {
+fn send_timeout(req: &ForwardRequest, may_retry: bool) -> Duration {
+    let left = time_until(req.deadline);
+    if !may_retry {
         return left;
     }
     req.route
         .latency_target
-        .mul_f64(FIRST_SEND_PATIENCE)
+        .mul_f64(FIRST_SEND_TIMEOUT_FACTOR)
         .min(left)
 }
 
 /// The sends of one request so far.
 #[derive(Default)]
-struct Tries {
+struct SendHistory {
     exclude: Vec<HostName>,
     /// Sends after which the request may have run.
     runs: u32,
@@ -158,9 +158,9 @@
     last_failure: Option<TargetAnswer>,
 }
 
-impl Tries {
+impl SendHistory {
     /// Notes a failed send; whether another one may follow.
-    fn may_go_on<N: Network>(
+    fn may_send_again<N: Network>(
         &mut self,
         cx: &Forwarder<N>,
         req: &ForwardRequest,
@@ -180,8 +180,8 @@
         let allowed = failure.verdict().may_retry(req.is_idempotent())
             && self.runs < req.route.max_attempts
             && self.declined < MAX_DECLINED
-            && !until(req.deadline).is_zero();
-        allowed && (!failure.has_arrived() || cx.may_repeat(&req.service))
+            && !time_until(req.deadline).is_zero();
+        allowed && (!failure.reached_target() || cx.try_take_retry(&req.service))
     }
 
     fn give_up_after<N: Network>(
@@ -191,7 +191,7 @@
         failure: &SendFailure,
     ) -> Response<ProxyBody> {
         match failure {
-            SendFailure::Silent => {
+            SendFailure::TimedOut => {
                 self.give_up(cx, req, StatusCode::GATEWAY_TIMEOUT, "no answer in time")
             }
             _ => self.give_up(cx, req, StatusCode::BAD_GATEWAY, "the target broke off"),
@@ -206,20 +206,20 @@
         left: Duration,
     ) -> Response<ProxyBody> {
         if self.runs > 0 {
-            return self.give_up(cx, req, StatusCode::BAD_GATEWAY, QUARANTINED);
+            return self.give_up(cx, req, StatusCode::BAD_GATEWAY, QUARANTINE_DETAIL);
         }
-        refusal(QUARANTINED, left)
+        refusal(QUARANTINE_DETAIL, left)
     }
 
     /// When the caller should come back: not before a target takes requests again.
     fn retry_after<N: Network>(&self, cx: &Forwarder<N>, req: &ForwardRequest) -> Duration {
-        let usual = if self.declined > 0 {
+        let default = if self.declined > 0 {
             DECLINED_RETRY_AFTER
         } else {
             NO_TARGET_RETRY_AFTER
         };
-        let held = cx.retry_in(&req.service);
-        held.map_or(usual, |held| held.max(usual))
+        let back_off = cx.retry_in(&req.service);
+        back_off.map_or(default, |back_off| back_off.max(default))
     }
 
     /// The final answer: a failure of a target that ran the request, or the node's own.
@@ -238,8 +238,8 @@
             declined = self.declined,
             target_ms = req.route.latency_target.as_millis() as u64,
             age_ms = req.arrived.elapsed().as_millis() as u64,
-            left_ms = until(req.deadline).as_millis() as u64,
-            retry_in_ms = cx.retry_in(&req.service).map(|held| held.as_millis() as u64),
+            left_ms = time_until(req.deadline).as_millis() as u64,
+            retry_in_ms = cx.retry_in(&req.service).map(|back_off| back_off.as_millis() as u64),
             reason = detail,
             "given up"
         );
@@ -247,14 +247,14 @@
             return answer.into_response();
         }
         if self.runs > 0 {
-            return own_answer(status, detail);
+            return problem_response(status, detail);
         }
         refusal(detail, self.retry_after(cx, req))
     }
 }
 
 /// Notes that a request is not sent on since it crashes its targets.
-pub(super) fn note_quarantined<N: Network>(cx: &Forwarder<N>, req: &ForwardRequest) {
+pub(super) fn record_quarantine_refusal<N: Network>(cx: &Forwarder<N>, req: &ForwardRequest) {
     cx.metrics.on_quarantine_refusal(&req.service);
     tracing::info!(
         part = "forward",
@@ -264,7 +264,7 @@
     );
 }
 
-pub(super) fn note_failure<N: Network>(
+pub(super) fn record_failure<N: Network>(
     cx: &Forwarder<N>,
     target: &TargetEntry,
     failure: &SendFailure,
@@ -273,8 +273,8 @@
     match failure {
         SendFailure::WrongTarget => cx.health.on_address_reused(&target.id),
         SendFailure::Declined { .. } => cx.health.on_refused(&target.id),
-        SendFailure::BacksOff => cx.metrics.on_held_back(&target.service, "back-off"),
-        SendFailure::Silent => {
+        SendFailure::InBackOff => cx.metrics.on_held_back(&target.service, "back-off"),
+        SendFailure::TimedOut => {
             cx.health.on_failure(&target.id);
             cx.connections.drop_idle(&target.id);
         }
@@ -286,21 +286,29 @@
     cx: &Forwarder<N>,
     req: &ForwardRequest,
     target: &Arc<TargetEntry>,
-    patience: Duration,
+    timeout: Duration,
 ) -> Result<TargetAnswer, SendFailure> {
-    let give_up_at = Instant::now() + patience;
-    let mut connection = tokio::time::timeout(patience, cx.connect(target))
+    let give_up_at = Instant::now() + timeout;
+    let mut connection = tokio::time::timeout(timeout, cx.connect(target))
         .await
         .map_err(|_| SendFailure::NotSent("connect timed out".to_owned()))?
         .map_err(|e| SendFailure::NotSent(e.to_string()))?;
-    let to = Sending {
+    let options = SendOptions {
         target: &target.id,
         last_event_id: req.head.last_event_id.as_ref(),
         helpers: None,
     };
-    let outgoing = req.for_target(&to);
+    let outgoing = req.for_target(&options);
     let id = &req.head.attempt_id;
-    let response = send(cx, target, &mut connection, outgoing, id, until(give_up_at)).await?;
+    let response = send(
+        cx,
+        target,
+        &mut connection,
+        outgoing,
+        id,
+        time_until(give_up_at),
+    )
+    .await?;
     let (parts, body) = response.into_parts();
     if let Some((running, waiting, _)) = parts
         .headers
@@ -311,11 +319,11 @@
     }
     let collect = Limited::new(body, MAX_ANSWER_BYTES).collect();
     let body = match tokio::time::timeout_at(give_up_at, collect).await {
-        Err(_) => return Err(SendFailure::Silent),
+        Err(_) => return Err(SendFailure::TimedOut),
         Ok(Err(e)) => return Err(SendFailure::Broken(e.to_string())),
         Ok(Ok(body)) => body.to_bytes(),
     };
-    if let Some(kept) = kept_for(&parts.headers) {
+    if let Some(kept) = keep_alive(&parts.headers) {
         connection.return_to_pool(kept.0);
     }
     let mut headers = parts.headers;
--- a/crates/azuresaddle-edge/src/forward/answer.rs
+++ b/crates/azuresaddle-edge/src/forward/problem.rs
@@ -20,7 +20,7 @@
 }
 
 /// An answer of the node itself.
-pub(crate) fn own_answer(status: StatusCode, detail: &str) -> Response<ProxyBody> {
+pub(crate) fn problem_response(status: StatusCode, detail: &str) -> Response<ProxyBody> {
     let problem = ProblemBody {
         status: status.as_u16(),
         detail,
@@ -36,7 +36,7 @@
 /// An answer that the request did not run, with the time to come back; a little later for each of
 /// several callers.
 pub(crate) fn refusal(detail: &str, retry_after: Duration) -> Response<ProxyBody> {
-    let mut response = own_answer(StatusCode::SERVICE_UNAVAILABLE, detail);
+    let mut response = problem_response(StatusCode::SERVICE_UNAVAILABLE, detail);
     let spread = rand::rng().random_range(1.0..RETRY_SPREAD);
     let seconds = format!("{:.3}", retry_after.as_secs_f64() * spread);
     let value = HeaderValue::try_from(seconds).expect("a number is ASCII");
--- a/crates/azuresaddle-edge/src/forward/reservations.rs
+++ b/crates/azuresaddle-edge/src/forward/reservations.rs
@@ -16,7 +16,7 @@
 use super::target_call::{TargetCall, call_target};
 
 /// Time for which memory is held without renewal: a node that dies leaves it for no longer.
-const HOLD: Duration = Duration::from_millis(3000);
+const RESERVATION_TTL: Duration = Duration::from_millis(3000);
 
 /// Time between renewals; two may fail before the hold ends.
 const RENEW_INTERVAL: Duration = Duration::from_millis(1000);
@@ -39,7 +39,7 @@
 ) -> Result<Reservations, HostName> {
     let orders = helpers
         .iter()
-        .map(|helper| order(cx, helper, encode_reserve(name, tokens, hold_ms(), false)));
+        .map(|helper| order(cx, helper, encode_reserve(name, tokens, ttl_ms(), false)));
     let answers = join_all(orders).await;
     let stopped = CancellationToken::new();
     // From here on the task releases whatever was reserved, also where an answer was lost.
@@ -73,8 +73,8 @@
     })
 }
 
-fn hold_ms() -> u64 {
-    u64::try_from(HOLD.as_millis()).unwrap_or(u64::MAX)
+fn ttl_ms() -> u64 {
+    u64::try_from(RESERVATION_TTL.as_millis()).unwrap_or(u64::MAX)
 }
 
 /// Renews until it is stopped, then releases.
@@ -93,7 +93,7 @@
         // A helper that has started again holds nothing; renewing would reserve memory for nobody.
         let snapshot = cx.snapshots.load();
         helpers.retain(|h| !snapshot.targets.has_restarted(h));
-        let body = encode_reserve(&name, tokens, hold_ms(), false);
+        let body = encode_reserve(&name, tokens, ttl_ms(), false);
         order_all(&cx, &helpers, &name, &body).await;
     }
     order_all(&cx, &helpers, &name, &encode_release(&name)).await;
@@ -107,11 +107,11 @@
     body: &[u8],
 ) {
     let orders = helpers.iter().map(|h| order(cx, h, body.to_vec()));
-    note_failures(helpers, name, &join_all(orders).await);
+    log_failures(helpers, name, &join_all(orders).await);
 }
 
 /// The hold ends by itself, so a lost order needs no more than a line.
-fn note_failures(helpers: &[Arc<TargetEntry>], name: &str, answers: &[Result<(), SendFailure>]) {
+fn log_failures(helpers: &[Arc<TargetEntry>], name: &str, answers: &[Result<(), SendFailure>]) {
     for (helper, answer) in helpers.iter().zip(answers) {
         if let Err(e) = answer {
             tracing::info!(
--- a/crates/azuresaddle-edge/src/forward/retry_budget.rs
+++ b/crates/azuresaddle-edge/src/forward/retry_budget.rs
@@ -25,8 +25,14 @@
 
 #[derive(Default)]
 struct Window {
-    /// Start, first sends and repeats of each bucket.
-    buckets: VecDeque<(Instant, u32, u32)>,
+    buckets: VecDeque<Bucket>,
+}
+
+struct Bucket {
+    start: Instant,
+    /// First sends.
+    requests: u32,
+    retries: u32,
 }
 
 impl RetryBudget {
@@ -41,22 +47,22 @@
     pub(crate) fn on_request(&self, service: &Arc<str>) {
         let mut services = self.lock();
         let window = services.entry(Arc::clone(service)).or_default();
-        window.current(self.bounds.retry_window).1 += 1;
+        window.current_bucket(self.bounds.retry_window).requests += 1;
     }
 
     /// Takes one repeat; false where the share is used up.
-    pub(crate) fn take(&self, service: &Arc<str>, nodes: usize) -> bool {
+    pub(crate) fn try_take(&self, service: &Arc<str>, nodes: usize) -> bool {
         let mut services = self.lock();
         let window = services.entry(Arc::clone(service)).or_default();
-        window.current(self.bounds.retry_window);
-        let requests: u32 = window.buckets.iter().map(|b| b.1).sum();
-        let repeats: u32 = window.buckets.iter().map(|b| b.2).sum();
+        window.current_bucket(self.bounds.retry_window);
+        let requests: u32 = window.buckets.iter().map(|b| b.requests).sum();
+        let retries: u32 = window.buckets.iter().map(|b| b.retries).sum();
         let extra = self.bounds.retry_extra / nodes.max(1) as f64;
         let allowed = USED_SHARE * (self.bounds.retry_ratio * f64::from(requests) + extra);
-        if f64::from(repeats) + 1.0 > allowed {
+        if f64::from(retries) + 1.0 > allowed {
             return false;
         }
-        window.current(self.bounds.retry_window).2 += 1;
+        window.current_bucket(self.bounds.retry_window).retries += 1;
         true
     }
 
@@ -67,10 +73,10 @@
 
 impl Window {
     /// The present bucket, after old ones are dropped.
-    fn current(&mut self, length: Duration) -> &mut (Instant, u32, u32) {
+    fn current_bucket(&mut self, length: Duration) -> &mut Bucket {
         let now = Instant::now();
-        while let Some((start, ..)) = self.buckets.front() {
-            if now.saturating_duration_since(*start) <= length {
+        while let Some(bucket) = self.buckets.front() {
+            if now.saturating_duration_since(bucket.start) <= length {
                 break;
             }
             self.buckets.pop_front();
@@ -78,9 +84,13 @@
         let is_current = self
             .buckets
             .back()
-            .is_some_and(|(start, ..)| now.saturating_duration_since(*start) < length / BUCKETS);
+            .is_some_and(|bucket| now.saturating_duration_since(bucket.start) < length / BUCKETS);
         if !is_current {
-            self.buckets.push_back((now, 0, 0));
+            self.buckets.push_back(Bucket {
+                start: now,
+                requests: 0,
+                retries: 0,
+            });
         }
         self.buckets.back_mut().expect("pushed above")
     }
--- a/crates/azuresaddle-edge/src/forward/signals.rs
+++ b/crates/azuresaddle-edge/src/forward/signals.rs
@@ -13,7 +13,7 @@
 impl<N: Network> Forwarder<N> {
     /// Notes the signals of a target's answer to something that was sent at `sent_at`; `is_served` where it is an answer
     /// to a request that the target served, which would hold a rate limit in force.
-    pub(super) fn note_signals(
+    pub(super) fn record_signals(
         &self,
         target: &TargetEntry,
         sent_at: Instant,
@@ -29,7 +29,7 @@
         let signals = decoded.signals;
         let back_off = signals
             .back_off
-            .filter(|time| turns_away(status) && !time.is_zero());
+            .filter(|time| allows_back_off(status) && !time.is_zero());
         if let Some(back_off) = back_off {
             self.health.back_offs().start(&target.id, back_off);
             self.metrics.on_target_signal("back-off");
@@ -56,7 +56,7 @@
 }
 
 /// Whether an answer of that status may ask for a back-off.
-fn turns_away(status: StatusCode) -> bool {
+fn allows_back_off(status: StatusCode) -> bool {
     matches!(
         status,
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS
--- a/crates/azuresaddle-edge/src/forward/stream/finish.rs
+++ b/crates/azuresaddle-edge/src/forward/stream/finish.rs
@@ -9,22 +9,24 @@
 use hyper::StatusCode;
 use tokio::time::Instant;
 
-use super::{Begin, MAX_DECLINED, RETRY_AFTER, Relay, StreamEnd};
-use crate::forward::answer::{own_answer, refusal};
-use crate::forward::attempt::{SendFailure, until};
+use super::{AnswerStart, DEFAULT_RETRY_AFTER, MAX_DECLINED, Relay, StreamEnd};
+use crate::forward::attempt::{SendFailure, time_until};
 use crate::forward::crash_check::check_for_crash;
-use crate::forward::plain::{QUARANTINED, note_failure, note_quarantined};
+use crate::forward::plain::{QUARANTINE_DETAIL, record_failure, record_quarantine_refusal};
+use crate::forward::problem::{problem_response, refusal};
 
 impl<N: Network> Relay<N> {
-    pub(super) async fn note(
+    pub(super) async fn record_failed_send(
         &mut self,
         target: &TargetEntry,
         failure: &SendFailure,
         sent_at: Instant,
     ) {
-        note_failure(&self.cx, target, failure);
+        record_failure(&self.cx, target, failure);
         let at = match failure {
-            SendFailure::Declined { at: Some(at), .. } => self.at_fault(at),
+            SendFailure::Declined {
+                at_fault: Some(at), ..
+            } => self.find_target(at),
             _ => None,
         };
         if failure.verdict() == Verdict::MayHaveRun {
@@ -39,7 +41,7 @@
             fingerprint = %self.req.fingerprint,
             target = %target.id,
             failure = %failure,
-            last_event = self.last_id,
+            last_event = self.last_relayed_id,
             age_ms = self.req.arrived.elapsed().as_millis() as u64,
             "send failed"
         );
@@ -48,7 +50,7 @@
     }
 
     /// The target of a name or at an address.
-    fn at_fault(&self, at: &str) -> Option<Arc<TargetEntry>> {
+    fn find_target(&self, at: &str) -> Option<Arc<TargetEntry>> {
         let snapshot = self.cx.snapshots.load();
         let targets = snapshot.targets.of_service(&self.req.service);
         let found = targets
@@ -58,12 +60,12 @@
     }
 
     /// Notes a lost send; whether another one may follow.
-    pub(super) fn may_go_on(&mut self, failure: &SendFailure) -> bool {
+    pub(super) fn may_send_again(&mut self, failure: &SendFailure) -> bool {
         if failure.verdict() == Verdict::NotRun {
             self.declined += 1;
             return self.declined <= MAX_DECLINED
-                && !until(self.req.deadline).is_zero()
-                && (!failure.has_arrived() || self.cx.may_repeat(&self.req.service));
+                && !time_until(self.req.deadline).is_zero()
+                && (!failure.reached_target() || self.cx.try_take_retry(&self.req.service));
         }
         self.runs += 1;
         self.may_run_again()
@@ -72,9 +74,9 @@
     pub(super) fn may_run_again(&self) -> bool {
         self.req.is_idempotent()
             && self.runs < self.req.route.max_attempts
-            && !until(self.req.deadline).is_zero()
-            && (self.head.is_some() || self.last_id.is_some())
-            && self.cx.may_repeat(&self.req.service)
+            && !time_until(self.req.deadline).is_zero()
+            && (self.start_tx.is_some() || self.last_relayed_id.is_some())
+            && self.cx.try_take_retry(&self.req.service)
     }
 
     /// Final answer of a request that no engine takes.
@@ -82,37 +84,37 @@
         self.completion.set();
         self.log(&HostName::new(""), "stream refused");
         if self.runs > 0 {
-            return self.give_up(&SendFailure::Silent);
+            return self.give_up(&SendFailure::TimedOut);
         }
-        self.record(StreamEnd::Refused);
-        match self.head.take() {
+        self.record_sample(StreamEnd::Refused);
+        match self.start_tx.take() {
             Some(tx) => {
                 let response = refusal("no engine can serve this in time", retry_after);
                 // The caller may be gone.
-                let _ = tx.send(Begin::Whole(Box::new(response)));
+                let _ = tx.send(AnswerStart::Whole(Box::new(response)));
             }
             // A begun answer that stops without its end is seen to be incomplete.
-            None => drop(self.pieces),
+            None => drop(self.chunks),
         }
     }
 
     /// Final answer to a request that crashes its targets.
     pub(super) fn refuse_quarantined(mut self) {
-        note_quarantined(&self.cx, &self.req);
+        record_quarantine_refusal(&self.cx, &self.req);
         if self.runs > 0 {
-            return self.give_up(&SendFailure::Broken(QUARANTINED.to_owned()));
+            return self.give_up(&SendFailure::Broken(QUARANTINE_DETAIL.to_owned()));
         }
         self.completion.set();
-        self.record(StreamEnd::Refused);
+        self.record_sample(StreamEnd::Refused);
         let left = match self.cx.quarantine.standing(self.req.fingerprint) {
             RequestStatus::Quarantined { left } => left,
             // A good end elsewhere has settled it in this moment.
-            RequestStatus::Clear | RequestStatus::Suspect => RETRY_AFTER,
+            RequestStatus::Clear | RequestStatus::Suspect => DEFAULT_RETRY_AFTER,
         };
-        if let Some(tx) = self.head.take() {
-            let response = refusal(QUARANTINED, left);
+        if let Some(tx) = self.start_tx.take() {
+            let response = refusal(QUARANTINE_DETAIL, left);
             // The caller may be gone.
-            let _ = tx.send(Begin::Whole(Box::new(response)));
+            let _ = tx.send(AnswerStart::Whole(Box::new(response)));
         }
     }
 
@@ -120,12 +122,12 @@
     pub(super) fn give_up(mut self, failure: &SendFailure) {
         self.completion.set();
         self.log(&HostName::new(""), "stream given up");
-        self.record(if self.runs == 0 {
+        self.record_sample(if self.runs == 0 {
             StreamEnd::Refused
         } else {
             StreamEnd::Failed
         });
-        let Some(tx) = self.head.take() else {
+        let Some(tx) = self.start_tx.take() else {
             // A begun answer that stops without its end is seen to be incomplete.
             return;
         };
@@ -134,12 +136,12 @@
             (None, _) if self.runs == 0 => {
                 refusal("no target took the request", self.retry_after())
             }
-            (None, SendFailure::Silent) => {
-                own_answer(StatusCode::GATEWAY_TIMEOUT, "no answer in time")
+            (None, SendFailure::TimedOut) => {
+                problem_response(StatusCode::GATEWAY_TIMEOUT, "no answer in time")
             }
-            (None, _) => own_answer(StatusCode::BAD_GATEWAY, "the target broke off"),
+            (None, _) => problem_response(StatusCode::BAD_GATEWAY, "the target broke off"),
         };
         // The caller may be gone.
-        let _ = tx.send(Begin::Whole(Box::new(response)));
+        let _ = tx.send(AnswerStart::Whole(Box::new(response)));
     }
 }
--- a/crates/azuresaddle-edge/src/forward/stream/mod.rs
+++ b/crates/azuresaddle-edge/src/forward/stream/mod.rs
@@ -4,7 +4,7 @@
 //! target after the last event where the route allows it.
 
 mod finish;
-mod place;
+mod placement;
 mod send;
 
 use std::sync::Arc;
@@ -19,16 +19,16 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-use super::answer::own_answer;
-use super::attempt::{SendFailure, until};
-use super::body::{Piece, ProxyBody};
-use super::caller_watch::{CallerWatch, Completion};
-use super::crash_check::note_good_end;
+use super::attempt::{SendFailure, time_until};
+use super::body::{BodyChunk, ProxyBody};
+use super::crash_check::record_good_end;
+use super::disconnect_log::{CompletionFlag, DisconnectLog};
 use super::forwarder::Forwarder;
 use super::head::ForwardRequest;
+use super::problem::problem_response;
 
 /// Pieces of events that wait for a slow caller.
-const MAX_WAITING_PIECES: usize = 32;
+const MAX_BUFFERED_CHUNKS: usize = 32;
 
 /// Most sends that ended without the request being run.
 const MAX_DECLINED: u32 = 5;
@@ -37,7 +37,7 @@
 const DEFAULT_PAUSE: Duration = Duration::from_millis(500);
 
 /// Time to come back where nothing is known of when a target is free.
-const RETRY_AFTER: Duration = Duration::from_millis(300);
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(300);
 
 /// Relays a request that is answered by events.
 pub(super) async fn forward_stream<N: Network>(
@@ -47,17 +47,17 @@
     let tasks = cx.spawner.clone();
     let cancel = CancellationToken::new();
     let guard = cancel.clone().drop_guard();
-    let (head_tx, head_rx) = oneshot::channel();
-    let (pieces_tx, pieces_rx) = mpsc::channel(MAX_WAITING_PIECES);
-    let watch = CallerWatch::new(req.head.id(), req.arrived);
+    let (start_tx, start_rx) = oneshot::channel();
+    let (chunks_tx, chunks_rx) = mpsc::channel(MAX_BUFFERED_CHUNKS);
+    let disconnect_log = DisconnectLog::new(req.head.id(), req.arrived);
     let relay = Relay {
-        completion: watch.completion(),
+        completion: disconnect_log.completion(),
         cx,
         last_event_id: req.head.last_event_id.clone(),
         req,
-        head: Some(head_tx),
-        pieces: pieces_tx,
-        last_id: None,
+        start_tx: Some(start_tx),
+        chunks: chunks_tx,
+        last_relayed_id: None,
         exclude: Vec::new(),
         runs: 0,
         declined: 0,
@@ -65,11 +65,11 @@
         first_event_ms: None,
         last_event_at: None,
         longest_pause: Duration::ZERO,
-        first_place: None,
+        first_placement: None,
     };
     tasks.spawn(async move {
         // Dropped after the relay, when the answer is complete or the caller has left.
-        let _watch = watch;
+        let _disconnect_log = disconnect_log;
         tokio::select! {
             biased;
             // Dropping the relay closes the connection, which stops the target.
@@ -77,20 +77,20 @@
             () = relay.run() => {}
         }
     });
-    match head_rx.await {
-        Ok(Begin::Whole(response)) => *response,
-        Ok(Begin::Events { status, headers }) => {
-            let mut response = Response::new(ProxyBody::relayed(pieces_rx, guard));
+    match start_rx.await {
+        Ok(AnswerStart::Whole(response)) => *response,
+        Ok(AnswerStart::Events { status, headers }) => {
+            let mut response = Response::new(ProxyBody::relayed(chunks_rx, guard));
             *response.status_mut() = status;
             *response.headers_mut() = headers;
             response
         }
-        Err(_) => own_answer(StatusCode::BAD_GATEWAY, "the relay ended"),
+        Err(_) => problem_response(StatusCode::BAD_GATEWAY, "the relay ended"),
     }
 }
 
 /// How the answer begins.
-enum Begin {
+enum AnswerStart {
     /// It is there as a whole.
     Whole(Box<Response<ProxyBody>>),
     /// Events follow.
@@ -101,7 +101,7 @@
 }
 
 /// How one send ended.
-enum Sent {
+enum SendOutcome {
     /// The answer is complete.
     Complete,
     /// The target ran the request and answered with a failure.
@@ -115,9 +115,9 @@
 }
 
 /// Why a request is sent nowhere.
-enum NoPlace {
+enum PlaceError {
     /// Nothing takes it now; the time to come back.
-    Later(Duration),
+    RetryAfter(Duration),
     /// It crashes its targets.
     Quarantined,
 }
@@ -135,16 +135,16 @@
 
 /// One stream from its request to its end.
 struct Relay<N: Network> {
-    completion: Completion,
+    completion: CompletionFlag,
     cx: Arc<Forwarder<N>>,
     req: ForwardRequest,
     /// Takes the head of the answer; `None` once it is sent.
-    head: Option<oneshot::Sender<Begin>>,
-    pieces: mpsc::Sender<Piece>,
+    start_tx: Option<oneshot::Sender<AnswerStart>>,
+    chunks: mpsc::Sender<BodyChunk>,
     /// Last event that the caller has, by its own word or passed on here.
     last_event_id: Option<HeaderValue>,
     /// Id of the last event that was passed on here.
-    last_id: Option<u64>,
+    last_relayed_id: Option<u64>,
     exclude: Vec<HostName>,
     runs: u32,
     declined: u32,
@@ -156,12 +156,12 @@
     /// Longest time between two events so far.
     longest_pause: Duration,
     /// What the first placement cost and promised.
-    first_place: Option<FirstPlace>,
+    first_placement: Option<FirstPlacement>,
 }
 
 /// What a request waited for its first engines, and what was expected of them.
 #[derive(Clone, Copy, Debug)]
-struct FirstPlace {
+struct FirstPlacement {
     waited: Duration,
     first_event_in: Duration,
 }
@@ -169,39 +169,40 @@
 impl<N: Network> Relay<N> {
     async fn run(mut self) {
         loop {
-            let place = match self.place_unless_quarantined().await {
-                Ok(place) => place,
-                Err(NoPlace::Later(retry_after)) => return self.refuse(retry_after),
-                Err(NoPlace::Quarantined) => return self.refuse_quarantined(),
+            let placement = match self.place_unless_quarantined().await {
+                Ok(placement) => placement,
+                Err(PlaceError::RetryAfter(retry_after)) => return self.refuse(retry_after),
+                Err(PlaceError::Quarantined) => return self.refuse_quarantined(),
             };
-            let lead = place.target.id.clone();
+            let lead = placement.target.id.clone();
             let sent_at = Instant::now();
-            match self.send(&place).await {
-                Sent::Quarantined => {
-                    place.end(StreamOutcome::Cancelled);
+            match self.send(&placement).await {
+                SendOutcome::Quarantined => {
+                    placement.end(StreamOutcome::Cancelled);
                     return self.refuse_quarantined();
                 }
-                Sent::Complete => {
-                    note_good_end(&self.cx, &self.req, &place.target, sent_at);
+                SendOutcome::Complete => {
+                    record_good_end(&self.cx, &self.req, &placement.target, sent_at);
                     self.cx.metrics.on_send(&self.req.service, "answered");
                     self.log(&lead, "stream complete");
-                    self.record(StreamEnd::Complete);
-                    return place.end(StreamOutcome::Done);
+                    self.record_sample(StreamEnd::Complete);
+                    return placement.end(StreamOutcome::Done);
                 }
-                Sent::CallerGone => return place.end(StreamOutcome::Cancelled),
-                Sent::Failed(response) => {
-                    place.end(StreamOutcome::TargetFailed(lead));
+                SendOutcome::CallerGone => return placement.end(StreamOutcome::Cancelled),
+                SendOutcome::Failed(response) => {
+                    placement.end(StreamOutcome::TargetFailed(lead));
                     self.runs += 1;
                     self.last_failure = Some(response);
                     if !self.may_run_again() {
                         return self.give_up(&SendFailure::Broken("target failed".to_owned()));
                     }
                 }
-                Sent::Lost(failure) => {
-                    self.note(&place.target, &failure, sent_at).await;
+                SendOutcome::Lost(failure) => {
+                    self.record_failed_send(&placement.target, &failure, sent_at)
+                        .await;
                     let outcome = self.outcome_of(lead, &failure);
-                    place.end(outcome);
-                    if !self.may_go_on(&failure) {
+                    placement.end(outcome);
+                    if !self.may_send_again(&failure) {
                         return self.give_up(&failure);
                     }
                 }
@@ -213,7 +214,9 @@
     fn outcome_of(&self, lead: HostName, failure: &SendFailure) -> StreamOutcome {
         match failure {
             // The one at fault is excluded for this request; the lead itself did nothing wrong.
-            SendFailure::Declined { at: Some(_), .. } => StreamOutcome::Cancelled,
+            SendFailure::Declined {
+                at_fault: Some(_), ..
+            } => StreamOutcome::Cancelled,
             SendFailure::Declined { .. } => match self.cx.health.back_offs().until(&lead) {
                 Some(until) => StreamOutcome::TargetBacksOff {
                     target: lead,
@@ -221,26 +224,26 @@
                 },
                 None => StreamOutcome::TargetRefused(lead),
             },
-            SendFailure::BacksOff => StreamOutcome::Cancelled,
+            SendFailure::InBackOff => StreamOutcome::Cancelled,
             SendFailure::NotSent(_)
             | SendFailure::WrongTarget
             | SendFailure::Broken(_)
-            | SendFailure::Silent => StreamOutcome::TargetFailed(lead),
+            | SendFailure::TimedOut => StreamOutcome::TargetFailed(lead),
         }
     }
 
-    fn pause(&self) -> Duration {
+    fn pause_target(&self) -> Duration {
         self.req.route.pause_target.unwrap_or(DEFAULT_PAUSE)
     }
 
     /// Counts the stream for the service-level report.
-    fn record(&self, end: StreamEnd) {
+    fn record_sample(&self, end: StreamEnd) {
         let first_token = self.first_event_ms.map(Duration::from_millis);
         let target = self.req.route.latency_target;
         let sample = Sample {
             first_token,
             first_token_missed: first_token.is_none_or(|took| took > target),
-            deadline_missed: until(self.req.deadline).is_zero(),
+            deadline_missed: time_until(self.req.deadline).is_zero(),
             answered: end == StreamEnd::Complete,
             refused: end == StreamEnd::Refused,
         };
@@ -255,17 +258,17 @@
             target = %target,
             runs = self.runs,
             declined = self.declined,
-            last_event = self.last_id,
+            last_event = self.last_relayed_id,
             first_event_ms = self.first_event_ms,
             target_ms = self.req.route.latency_target.as_millis() as u64,
-            queued_ms = self.first_place.map(|p| p.waited.as_millis() as u64),
-            expected_ms = self.first_place.map(|p| p.first_event_in.as_millis() as u64),
+            queued_ms = self.first_placement.map(|p| p.waited.as_millis() as u64),
+            expected_ms = self.first_placement.map(|p| p.first_event_in.as_millis() as u64),
             longest_pause_ms = self.longest_pause.as_millis() as u64,
-            pause_target_ms = self.pause().as_millis() as u64,
+            pause_target_ms = self.pause_target().as_millis() as u64,
             age_ms = self.req.arrived.elapsed().as_millis() as u64,
-            left_ms = until(self.req.deadline).as_millis() as u64,
-            prompt_tokens = self.req.tokens().map(|(prompt, _)| prompt),
-            retry_in_ms = self.cx.retry_in(&self.req.service).map(|held| held.as_millis() as u64),
+            left_ms = time_until(self.req.deadline).as_millis() as u64,
+            prompt_tokens = self.req.token_counts().map(|(prompt, _)| prompt),
+            retry_in_ms = self.cx.retry_in(&self.req.service).map(|back_off| back_off.as_millis() as u64),
             "{what}"
         );
     }
--- a/crates/azuresaddle-edge/src/forward/stream/place.rs
+++ b/crates/azuresaddle-edge/src/forward/stream/placement.rs
@@ -8,8 +8,8 @@
 use azuresaddle_sched::passes::StreamOutcome;
 use tokio::time::Instant;
 
-use super::{FirstPlace, MAX_DECLINED, NoPlace, RETRY_AFTER, Relay};
-use crate::forward::attempt::until;
+use super::{DEFAULT_RETRY_AFTER, FirstPlacement, MAX_DECLINED, PlaceError, Relay};
+use crate::forward::attempt::time_until;
 use crate::placement::{PlaceRequest, PlacementGuard};
 use crate::targets::InFlightGuard;
 
@@ -17,56 +17,56 @@
 const FIRST_EVENT_MARGIN: Duration = Duration::from_millis(12);
 
 /// Expected times to the first event after which a target counts as silent.
-const FIRST_EVENT_PATIENCE: f64 = 2.5;
+const FIRST_EVENT_TIMEOUT_FACTOR: f64 = 2.5;
 
 /// Time added to that, for the error of short estimates.
-const FIRST_EVENT_SLACK: Duration = Duration::from_millis(500);
+const FIRST_EVENT_TIMEOUT_MARGIN: Duration = Duration::from_millis(500);
 
 /// Shortest time that callers wait for an event, by their own protocol.
-const CALLER_PATIENCE: Duration = Duration::from_secs(2);
+const MIN_CALLER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Latency targets that callers wait for an event.
-const CALLER_TARGETS: u32 = 4;
+const CALLER_TIMEOUT_TARGETS: u32 = 4;
 
 /// Longest pauses that callers wait for an event.
-const CALLER_PAUSES: u32 = 8;
+const CALLER_TIMEOUT_PAUSES: u32 = 8;
 
 /// Where a request is sent.
-pub(super) struct Place<N: Network> {
+pub(super) struct Placement<N: Network> {
     pub(super) target: Arc<TargetEntry>,
     pub(super) helpers: Vec<Arc<TargetEntry>>,
-    pub(super) placed: Option<PlacementGuard<N>>,
-    _busy: Option<InFlightGuard>,
-    pub(super) first_event_patience: Duration,
+    pub(super) guard: Option<PlacementGuard<N>>,
+    _in_flight: Option<InFlightGuard>,
+    pub(super) first_event_timeout: Duration,
 }
 
-impl<N: Network> Place<N> {
+impl<N: Network> Placement<N> {
     pub(super) fn on_first_event(&self) {
-        if let Some(placed) = &self.placed {
-            placed.on_first_event();
+        if let Some(guard) = &self.guard {
+            guard.on_first_event();
         }
     }
 
     pub(super) fn end(self, outcome: StreamOutcome) {
-        if let Some(placed) = self.placed {
-            placed.end(outcome);
+        if let Some(guard) = self.guard {
+            guard.end(outcome);
         }
     }
 }
 
 impl<N: Network> Relay<N> {
     /// Finds a target, unless the request goes into quarantine before there is one.
-    pub(super) async fn place_unless_quarantined(&mut self) -> Result<Place<N>, NoPlace> {
+    pub(super) async fn place_unless_quarantined(&mut self) -> Result<Placement<N>, PlaceError> {
         let quarantine = Arc::clone(&self.cx.quarantine);
         let request = self.req.fingerprint;
         tokio::select! {
             biased;
-            () = quarantine.until_quarantined(request) => Err(NoPlace::Quarantined),
-            placed = self.place() => placed.map_err(NoPlace::Later),
+            () = quarantine.until_quarantined(request) => Err(PlaceError::Quarantined),
+            placed = self.place() => placed.map_err(PlaceError::RetryAfter),
         }
     }
 
-    async fn place(&mut self) -> Result<Place<N>, Duration> {
+    async fn place(&mut self) -> Result<Placement<N>, Duration> {
         let service = Arc::clone(&self.req.service);
         match self.cx.engine_spec(&service) {
             Some(spec) => self.place_on_engines(spec.mean_answer_tokens).await,
@@ -74,29 +74,33 @@
         }
     }
 
-    async fn place_plain(&self) -> Result<Place<N>, Duration> {
+    async fn place_plain(&self) -> Result<Placement<N>, Duration> {
         let service = &self.req.service;
         let chosen = self.cx.choose_target(service, &self.exclude).await;
-        let (target, busy) = chosen.ok_or_else(|| self.retry_after())?;
-        Ok(Place {
+        let (target, in_flight) = chosen.ok_or_else(|| self.retry_after())?;
+        Ok(Placement {
             target,
             helpers: Vec::new(),
-            placed: None,
-            _busy: Some(busy),
-            first_event_patience: until(self.req.deadline),
+            guard: None,
+            _in_flight: Some(in_flight),
+            first_event_timeout: time_until(self.req.deadline),
         })
     }
 
-    async fn place_on_engines(&mut self, usual_answer: u64) -> Result<Place<N>, Duration> {
+    async fn place_on_engines(
+        &mut self,
+        mean_answer_tokens: u64,
+    ) -> Result<Placement<N>, Duration> {
         let route = &self.req.route;
-        let (prompt_tokens, answer_tokens) = self.req.tokens().unwrap_or((1, usual_answer));
-        let first_event_by = match self.last_id {
+        let (prompt_tokens, answer_tokens) =
+            self.req.token_counts().unwrap_or((1, mean_answer_tokens));
+        let first_event_by = match self.last_relayed_id {
             None => self.req.arrived + route.latency_target,
             // A stream that goes on is late after a pause.
-            Some(_) => Instant::now() + self.pause(),
+            Some(_) => Instant::now() + self.pause_target(),
         };
-        if let Some(held) = self.cx.retry_in(&self.req.service) {
-            return Err(held);
+        if let Some(back_off) = self.cx.retry_in(&self.req.service) {
+            return Err(back_off);
         }
         loop {
             let asked_at = Instant::now();
@@ -106,7 +110,7 @@
                 prompt_tokens,
                 answer_tokens,
                 first_event_by: first_event_by - FIRST_EVENT_MARGIN,
-                pause: self.pause(),
+                pause: self.pause_target(),
                 give_up_at: self.give_up_at(),
                 deadline: self.req.deadline,
                 exclude: self.excluded(),
@@ -126,7 +130,7 @@
                 self.exclude.push(lead);
                 self.declined += 1;
                 if self.declined > MAX_DECLINED {
-                    return Err(RETRY_AFTER);
+                    return Err(DEFAULT_RETRY_AFTER);
                 }
                 continue;
             };
@@ -146,7 +150,7 @@
                 request = self.req.head.id(),
                 route = %self.req.route.name,
                 target = %target.id,
-                helpers = %names(&helpers),
+                helpers = %join_names(&helpers),
                 reserved_tokens = placed.helper_memory_tokens,
                 prompt_tokens,
                 configuration = snapshot.configuration.as_ref().map_or(0, |c| c.version.0),
@@ -155,18 +159,19 @@
                 expected_ms = placed.first_event_in.as_millis() as u64,
                 "placed"
             );
-            self.first_place.get_or_insert(FirstPlace {
+            self.first_placement.get_or_insert(FirstPlacement {
                 waited: self.req.arrived.elapsed(),
                 first_event_in: placed.first_event_in,
             });
-            let first_event_patience =
-                placed.first_event_in.mul_f64(FIRST_EVENT_PATIENCE) + FIRST_EVENT_SLACK + stall;
-            return Ok(Place {
+            let first_event_timeout = placed.first_event_in.mul_f64(FIRST_EVENT_TIMEOUT_FACTOR)
+                + FIRST_EVENT_TIMEOUT_MARGIN
+                + stall;
+            return Ok(Placement {
                 target,
                 helpers,
-                placed: Some(placed),
-                _busy: None,
-                first_event_patience,
+                guard: Some(placed),
+                _in_flight: None,
+                first_event_timeout,
             });
         }
     }
@@ -180,22 +185,24 @@
 
     /// When the caller should come back: not before a target takes requests again.
     pub(super) fn retry_after(&self) -> Duration {
-        self.cx.retry_in(&self.req.service).unwrap_or(RETRY_AFTER)
+        self.cx
+            .retry_in(&self.req.service)
+            .unwrap_or(DEFAULT_RETRY_AFTER)
     }
 
     /// When the caller gives up if no event comes.
     fn give_up_at(&self) -> Instant {
-        let targets = self.req.route.latency_target * CALLER_TARGETS;
-        let patience = targets
-            .max(self.pause() * CALLER_PAUSES)
-            .max(CALLER_PATIENCE);
+        let targets = self.req.route.latency_target * CALLER_TIMEOUT_TARGETS;
+        let timeout = targets
+            .max(self.pause_target() * CALLER_TIMEOUT_PAUSES)
+            .max(MIN_CALLER_TIMEOUT);
         let since = self.last_event_at.unwrap_or(self.req.arrived);
-        (since + patience).min(self.req.deadline)
+        (since + timeout).min(self.req.deadline)
     }
 }
 
 /// Names of targets for one log line.
-fn names(targets: &[Arc<TargetEntry>]) -> String {
+fn join_names(targets: &[Arc<TargetEntry>]) -> String {
     let names: Vec<&str> = targets.iter().map(|t| t.id.as_str()).collect();
     names.join(",")
 }
--- a/crates/azuresaddle-edge/src/forward/target_call.rs
+++ b/crates/azuresaddle-edge/src/forward/target_call.rs
@@ -12,7 +12,7 @@
 use hyper::{Method, Request, StatusCode, Uri};
 use tokio::time::Instant;
 
-use super::attempt::{SendFailure, kept_for};
+use super::attempt::{SendFailure, keep_alive};
 use super::forwarder::Forwarder;
 
 /// Longest wait for an answer: targets answer these at once, and a prompt may wait for it.
@@ -74,7 +74,7 @@
 ) -> Result<Bytes, SendFailure> {
     tokio::time::timeout(TIMEOUT, exchange(cx, target, call))
         .await
-        .unwrap_or(Err(SendFailure::Silent))
+        .unwrap_or(Err(SendFailure::TimedOut))
 }
 
 async fn exchange<N: Network>(
@@ -95,17 +95,17 @@
     let (parts, body) = response.into_parts();
     // Another server may answer at the address.
     if parts.status != StatusCode::MISDIRECTED_REQUEST {
-        cx.note_signals(target, sent_at, parts.status, &parts.headers, false);
+        cx.record_signals(target, sent_at, parts.status, &parts.headers, false);
     }
     let body = Limited::new(body, MAX_ANSWER_BYTES).collect().await;
     let body = body.map_err(|e| SendFailure::Broken(e.to_string()))?;
-    if let Some(kept) = kept_for(&parts.headers) {
+    if let Some(kept) = keep_alive(&parts.headers) {
         connection.return_to_pool(kept.0);
     }
     if parts.status != StatusCode::OK {
         return Err(SendFailure::Declined {
             status: parts.status,
-            at: None,
+            at_fault: None,
         });
     }
     Ok(body.to_bytes())
--- a/crates/azuresaddle-edge/src/forward/tests/event_splitter.rs
+++ b/crates/azuresaddle-edge/src/forward/tests/event_splitter.rs
@@ -5,31 +5,31 @@
 use crate::forward::event_splitter::EventSplitter;
 
 #[test]
-fn an_event_is_passed_on_only_when_it_is_whole() {
+fn incomplete_events_are_buffered() {
     let mut splitter = EventSplitter::default();
     let first = splitter.push(&Bytes::from_static(b"id: 1\nda")).unwrap();
     assert!(first.bytes.is_empty());
-    assert!(splitter.has_rest());
+    assert!(splitter.has_partial_event());
     let rest = splitter
         .push(&Bytes::from_static(b"ta: x\n\nid: 2\ndata: y\n\nid: 3"))
         .unwrap();
     assert_eq!(rest.bytes, "id: 1\ndata: x\n\nid: 2\ndata: y\n\n");
     assert_eq!(rest.ids, [1, 2]);
-    assert!(splitter.has_rest());
+    assert!(splitter.has_partial_event());
 }
 
 #[test]
-fn other_lines_and_line_ends_are_kept_as_they_are() {
+fn other_fields_and_line_endings_are_preserved() {
     let mut splitter = EventSplitter::default();
     let text = "azuresaddle-weight-versions: 3\r\nid: 7\r\ndata: z\r\n\r\n";
     let events = splitter.push(&Bytes::from_static(text.as_bytes())).unwrap();
     assert_eq!(events.bytes, text);
     assert_eq!(events.ids, [7]);
-    assert!(!splitter.has_rest());
+    assert!(!splitter.has_partial_event());
 }
 
 #[test]
-fn every_split_gives_the_same_events() {
+fn events_do_not_depend_on_chunk_boundaries() {
     let text: String = (1..40)
         .map(|n| format!("id: {n}\ndata: token {n}\n\n"))
         .collect();
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn an_endless_event_is_given_up() {
+fn an_oversized_event_is_rejected() {
     let mut splitter = EventSplitter::default();
     let chunk = Bytes::from(vec![b'x'; 300_000]);
     let kept = (0..4).all(|_| splitter.push(&chunk).is_some());
--- a/crates/azuresaddle-edge/src/forward/tests/head.rs
+++ b/crates/azuresaddle-edge/src/forward/tests/head.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn headers_of_one_connection_the_key_and_own_headers_are_dropped() {
+fn hop_by_hop_authorization_and_node_headers_are_removed() {
     let fields = map(&[
         ("host", "desk.example"),
         ("connection", "keep-alive, x-hop"),
--- a/crates/azuresaddle-edge/src/forward/tests/mod.rs
+++ b/crates/azuresaddle-edge/src/forward/tests/mod.rs
@@ -1,7 +1,7 @@
 //! Tests of relaying, without sockets.
 
-mod answer;
-mod breaks;
+mod broken_sends;
 mod event_splitter;
 mod head;
+mod problem;
 mod retry_budget;
--- a/crates/azuresaddle-edge/src/forward/tests/answer.rs
+++ b/crates/azuresaddle-edge/src/forward/tests/problem.rs
@@ -7,7 +7,7 @@
 use crate::forward::refusal;
 
 #[test]
-fn callers_refused_in_one_moment_come_back_one_after_the_other() {
+fn retry_after_is_spread_over_half_of_the_wait() {
     let seconds: Vec<f64> = (0..40)
         .map(|_| {
             let answer = refusal("no engine is free", Duration::from_secs(2));
--- a/crates/azuresaddle-edge/src/forward/tests/retry_budget.rs
+++ b/crates/azuresaddle-edge/src/forward/tests/retry_budget.rs
@@ -20,7 +20,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_shares_of_all_nodes_stay_within_the_budget() {
+async fn shares_of_all_nodes_stay_within_the_budget() {
     let service: Arc<str> = Arc::from("s");
     let mut taken = 0;
     for _ in 0..7 {
@@ -28,7 +28,7 @@
         for _ in 0..50 {
             budget.on_request(&service);
         }
-        taken += (0..1000).filter(|_| budget.take(&service, 7)).count();
+        taken += (0..1000).filter(|_| budget.try_take(&service, 7)).count();
     }
     assert!(taken <= (0.2 * 350.0 + 100.0) as usize, "{taken} retries");
     assert!(taken >= 80, "{taken} retries");
@@ -38,20 +38,20 @@
 async fn the_window_slides() {
     let service: Arc<str> = Arc::from("s");
     let budget = budget();
-    let first = (0..1000).filter(|_| budget.take(&service, 1)).count();
-    assert!(!budget.take(&service, 1));
+    let first = (0..1000).filter(|_| budget.try_take(&service, 1)).count();
+    assert!(!budget.try_take(&service, 1));
     tokio::time::advance(Duration::from_secs(5)).await;
-    assert!(!budget.take(&service, 1));
+    assert!(!budget.try_take(&service, 1));
     tokio::time::advance(Duration::from_secs(6)).await;
-    let second = (0..1000).filter(|_| budget.take(&service, 1)).count();
+    let second = (0..1000).filter(|_| budget.try_take(&service, 1)).count();
     assert_eq!(first, second);
 }
 
 #[tokio::test(start_paused = true)]
-async fn services_have_budgets_of_their_own() {
+async fn each_service_has_its_own_budget() {
     let one: Arc<str> = Arc::from("one");
     let other: Arc<str> = Arc::from("other");
     let budget = budget();
-    while budget.take(&one, 1) {}
-    assert!(budget.take(&other, 1));
+    while budget.try_take(&one, 1) {}
+    assert!(budget.try_take(&other, 1));
 }
--- a/crates/azuresaddle-edge/src/frontend/connection.rs
+++ b/crates/azuresaddle-edge/src/frontend/connection.rs
@@ -12,13 +12,13 @@
 use tokio::io::{AsyncRead, AsyncWrite, AsyncWriteExt};
 use tokio::time::Instant;
 
-use super::connection_clock::{Activity, ClockedStream, ConnectionClock};
-use super::guarded::Guarded;
+use super::connection_activity::{Activity, ConnectionActivity, TrackedStream};
+use super::guarded_body::GuardedBody;
 use super::service::CallerService;
-use super::stopping::Stage;
+use super::shutdown::ShutdownStage;
 
 /// Part of a head beyond its limit that is still read, to answer that it is too long.
-const READ_FACTOR: usize = 4;
+const READ_BUFFER_FACTOR: usize = 4;
 
 /// Answer to a head that does not arrive in time; the request did not run.
 const HEAD_TIMEOUT_ANSWER: &[u8] =
@@ -28,7 +28,7 @@
 const WRITE_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Why a connection is ended by this node.
-enum Ended {
+enum ConnectionEnd {
     ByCaller,
     HeadTimeout,
 }
@@ -39,46 +39,46 @@
     N: Network,
     S: AsyncRead + AsyncWrite + Unpin + Send + 'static,
 {
-    let clock = ConnectionClock::new();
-    let mut stopping = service.stopping().subscribe();
+    let activity = ConnectionActivity::new();
+    let mut stage_changes = service.shutdown().subscribe();
     let limits = service.limits();
     let handler = {
         let service = Arc::clone(&service);
-        let clock = clock.clone();
+        let activity = activity.clone();
         service_fn(move |req| {
             let service = Arc::clone(&service);
-            let answering = clock.begin();
+            let answering = activity.begin_answer();
             async move {
                 let mut response = service.handle(req).await;
-                if service.stopping().stage() != Stage::Serving {
+                if service.shutdown().stage() != ShutdownStage::Serving {
                     let close = HeaderValue::from_static("close");
                     response.headers_mut().insert(CONNECTION, close);
                 }
                 // The guard is kept by the body, which lasts until the answer is written.
-                Ok::<_, Infallible>(response.map(|body| Guarded::new(body, answering)))
+                Ok::<_, Infallible>(response.map(|body| GuardedBody::new(body, answering)))
             }
         })
     };
-    let io = TokioIo::new(ClockedStream::new(stream, clock.clone()));
+    let io = TokioIo::new(TrackedStream::new(stream, activity.clone()));
     let mut conn = http1::Builder::new()
-        .max_buf_size(limits.max_header_bytes * READ_FACTOR)
+        .max_buf_size(limits.max_header_bytes * READ_BUFFER_FACTOR)
         .serve_connection(io, handler);
     let ended = loop {
         tokio::select! {
             // An error here is a caller that left or misbehaved; the handler saw its own part.
-            _ = &mut conn => break Ended::ByCaller,
-            timeout = until_timeout(&clock, &service) => match timeout {
+            _ = &mut conn => break ConnectionEnd::ByCaller,
+            timeout = wait_for_timeout(&activity, &service) => match timeout {
                 Timeout::Idle => Pin::new(&mut conn).graceful_shutdown(),
-                Timeout::Head => break Ended::HeadTimeout,
+                Timeout::Head => break ConnectionEnd::HeadTimeout,
             },
-            Ok(()) = stopping.changed() => {
-                if service.stopping().stage() == Stage::Refusing {
+            Ok(()) = stage_changes.changed() => {
+                if service.shutdown().stage() == ShutdownStage::Refusing {
                     Pin::new(&mut conn).graceful_shutdown();
                 }
             }
         }
     };
-    if let Ended::HeadTimeout = ended {
+    if let ConnectionEnd::HeadTimeout = ended {
         answer_head_timeout(conn.into_parts().io.into_inner()).await;
     }
 }
@@ -100,11 +100,14 @@
 }
 
 /// Waits until the connection has been idle, or reading a head, for too long.
-async fn until_timeout<N: Network>(clock: &ConnectionClock, service: &CallerService<N>) -> Timeout {
+async fn wait_for_timeout<N: Network>(
+    activity: &ConnectionActivity,
+    service: &CallerService<N>,
+) -> Timeout {
     loop {
         let limits = service.limits();
         let now = Instant::now();
-        let next = match clock.activity() {
+        let next = match activity.activity() {
             Activity::Idle(since) if now >= since + limits.idle_timeout => return Timeout::Idle,
             Activity::Idle(since) => {
                 // A head may begin just after; its own bound is the shorter one.
--- a/crates/azuresaddle-edge/src/frontend/connection_clock.rs
+++ b/crates/azuresaddle-edge/src/frontend/connection_activity.rs
@@ -21,9 +21,9 @@
 
 /// Shared view of a connection's activity.
 #[derive(Clone, Debug)]
-pub(super) struct ConnectionClock(Arc<Mutex<Activity>>);
+pub(super) struct ConnectionActivity(Arc<Mutex<Activity>>);
 
-impl ConnectionClock {
+impl ConnectionActivity {
     pub(super) fn new() -> Self {
         Self(Arc::new(Mutex::new(Activity::Idle(Instant::now()))))
     }
@@ -33,12 +33,12 @@
     }
 
     /// Notes that a request is whole, until the guard is dropped.
-    pub(super) fn begin(&self) -> AnsweringGuard {
+    pub(super) fn begin_answer(&self) -> AnsweringGuard {
         *self.lock() = Activity::Answering;
         AnsweringGuard(self.clone())
     }
 
-    fn on_bytes(&self) {
+    fn on_received(&self) {
         let mut activity = self.lock();
         if let Activity::Idle(_) = *activity {
             *activity = Activity::ReadingHead(Instant::now());
@@ -52,7 +52,7 @@
 
 /// A request that is being answered.
 #[derive(Debug)]
-pub(super) struct AnsweringGuard(ConnectionClock);
+pub(super) struct AnsweringGuard(ConnectionActivity);
 
 impl Drop for AnsweringGuard {
     fn drop(&mut self) {
@@ -62,18 +62,18 @@
 
 /// A byte stream that tells the clock of arriving bytes.
 #[derive(Debug)]
-pub(super) struct ClockedStream<S> {
+pub(super) struct TrackedStream<S> {
     stream: S,
-    clock: ConnectionClock,
+    activity: ConnectionActivity,
 }
 
-impl<S> ClockedStream<S> {
-    pub(super) fn new(stream: S, clock: ConnectionClock) -> Self {
-        Self { stream, clock }
+impl<S> TrackedStream<S> {
+    pub(super) fn new(stream: S, activity: ConnectionActivity) -> Self {
+        Self { stream, activity }
     }
 }
 
-impl<S: AsyncRead + Unpin> AsyncRead for ClockedStream<S> {
+impl<S: AsyncRead + Unpin> AsyncRead for TrackedStream<S> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -82,13 +82,13 @@
         let before = buf.filled().len();
         let result = std::task::ready!(Pin::new(&mut self.stream).poll_read(cx, buf));
         if buf.filled().len() > before {
-            self.clock.on_bytes();
+            self.activity.on_received();
         }
         Poll::Ready(result)
     }
 }
 
-impl<S: AsyncWrite + Unpin> AsyncWrite for ClockedStream<S> {
+impl<S: AsyncWrite + Unpin> AsyncWrite for TrackedStream<S> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/crates/azuresaddle-edge/src/frontend/guarded.rs
+++ b/crates/azuresaddle-edge/src/frontend/guarded_body.rs
@@ -6,17 +6,17 @@
 use bytes::Bytes;
 use hyper::body::{Body, Frame, SizeHint};
 
-use super::connection_clock::AnsweringGuard;
-use crate::forward::{BrokenOff, ProxyBody};
+use super::connection_activity::AnsweringGuard;
+use crate::forward::{AnswerAborted, ProxyBody};
 
 /// A body with the guard of its connection.
 #[derive(Debug)]
-pub(super) struct Guarded {
+pub(super) struct GuardedBody {
     body: ProxyBody,
     _answering: AnsweringGuard,
 }
 
-impl Guarded {
+impl GuardedBody {
     pub(super) fn new(body: ProxyBody, answering: AnsweringGuard) -> Self {
         Self {
             body,
@@ -25,14 +25,14 @@
     }
 }
 
-impl Body for Guarded {
+impl Body for GuardedBody {
     type Data = Bytes;
-    type Error = BrokenOff;
+    type Error = AnswerAborted;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokenOff>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, AnswerAborted>>> {
         Pin::new(&mut self.body).poll_frame(cx)
     }
 
--- a/crates/azuresaddle-edge/src/frontend/mod.rs
+++ b/crates/azuresaddle-edge/src/frontend/mod.rs
@@ -2,12 +2,12 @@
 
 mod admission;
 mod connection;
-mod connection_clock;
-mod guarded;
+mod connection_activity;
+mod guarded_body;
 mod listener;
 mod service;
-mod stopping;
+mod shutdown;
 
 pub(crate) use listener::serve_callers;
 pub(crate) use service::CallerService;
-pub(crate) use stopping::Stopping;
+pub(crate) use shutdown::Shutdown;
--- a/crates/azuresaddle-edge/src/frontend/service.rs
+++ b/crates/azuresaddle-edge/src/frontend/service.rs
@@ -15,25 +15,25 @@
 use tokio::time::Instant;
 
 use super::admission::{Admitted, Rejection, admit};
-use super::stopping::{Stage, Stopping};
+use super::shutdown::{Shutdown, ShutdownStage};
 use crate::forward::{
-    ForwardRequest, Forwarder, InFlight, ProxyBody, RequestHead, fingerprint_of, own_answer,
-    refusal,
+    ForwardRequest, Forwarder, InFlightAnswers, ProxyBody, RequestHead, fingerprint_of,
+    problem_response, refusal,
 };
 use crate::snapshot::{Snapshot, Snapshots};
 
 /// Longest wait of a request for the first configuration of a node: what it takes where hundreds of
 /// nodes start in one moment and read it from one store.
-const STARTING_PATIENCE: Duration = Duration::from_millis(1000);
+const CONFIGURATION_TIMEOUT: Duration = Duration::from_millis(1000);
 
 /// Part of a request's own time that it may wait so; the rest is for the answer, or to come back.
-const STARTING_SHARE: f64 = 0.25;
+const CONFIGURATION_WAIT_SHARE: f64 = 0.25;
 
 /// Stands for the time of a caller that states none; longer than any route's.
-const UNSTATED_TIME: Duration = Duration::from_secs(86_400);
+const DEFAULT_TIME_LEFT: Duration = Duration::from_secs(86_400);
 
 /// Time to come back to a node that knows no configuration yet.
-const STARTING_RETRY_AFTER: Duration = Duration::from_millis(300);
+const UNCONFIGURED_RETRY_AFTER: Duration = Duration::from_millis(300);
 
 /// Time to come back, at another node, to one that is stopping.
 const STOPPING_RETRY_AFTER: Duration = Duration::from_millis(50);
@@ -42,27 +42,27 @@
 pub(crate) struct CallerService<N: Network> {
     forwarder: Arc<Forwarder<N>>,
     snapshots: Snapshots,
-    stopping: Arc<Stopping>,
-    in_flight: InFlight,
+    shutdown: Arc<Shutdown>,
+    in_flight: InFlightAnswers,
 }
 
 impl<N: Network> CallerService<N> {
     pub(crate) fn new(
         forwarder: Arc<Forwarder<N>>,
         snapshots: Snapshots,
-        stopping: Arc<Stopping>,
-        in_flight: InFlight,
+        shutdown: Arc<Shutdown>,
+        in_flight: InFlightAnswers,
     ) -> Arc<Self> {
         Arc::new(Self {
             forwarder,
             snapshots,
-            stopping,
+            shutdown,
             in_flight,
         })
     }
 
-    pub(super) fn stopping(&self) -> &Stopping {
-        &self.stopping
+    pub(super) fn shutdown(&self) -> &Shutdown {
+        &self.shutdown
     }
 
     /// Limits in force.
@@ -75,9 +75,9 @@
     /// Answers one request.
     pub(super) async fn handle(&self, req: Request<Incoming>) -> Response<ProxyBody> {
         let arrived = Instant::now();
-        let counted = self.in_flight.begin();
+        let in_flight = self.in_flight.begin();
         let attempt_id = req.headers().get(&headers::ATTEMPT_ID).cloned();
-        let mut response = match self.take(arrived, req).await {
+        let mut response = match self.read_request(arrived, req).await {
             Ok(req) => self.forwarder.forward(req).await,
             Err(response) => *response,
         };
@@ -87,24 +87,24 @@
                 .entry(headers::ATTEMPT_ID)
                 .or_insert(id);
         }
-        response.map(|body| body.counted(counted))
+        response.map(|body| body.with_in_flight_guard(in_flight))
     }
 
     /// Reads a request and finds its route, or the answer that says why not.
-    async fn take(
+    async fn read_request(
         &self,
         arrived: Instant,
         req: Request<Incoming>,
     ) -> Result<ForwardRequest, Box<Response<ProxyBody>>> {
-        let snapshot = self.started(req.headers()).await;
+        let snapshot = self.configured_snapshot(req.headers()).await;
         let Some(configuration) = &snapshot.configuration else {
             let detail = "the node has no configuration yet";
-            return Err(refuse(req.headers(), detail, STARTING_RETRY_AFTER));
+            return Err(refuse(req.headers(), detail, UNCONFIGURED_RETRY_AFTER));
         };
         let (parts, body) = req.into_parts();
         let admitted = admit(configuration, &parts.uri, &parts.headers)
             .map_err(|rejection| self.reject(&parts.headers, rejection))?;
-        if self.stopping.stage() == Stage::Refusing {
+        if self.shutdown.stage() == ShutdownStage::Refusing {
             let detail = "the node is stopping";
             return Err(refuse(&parts.headers, detail, STOPPING_RETRY_AFTER));
         }
@@ -113,7 +113,7 @@
             let status = StatusCode::BAD_REQUEST;
             self.reject(&parts.headers, Rejection::new(status, "no attempt id"))
         })?;
-        let deadline = arrived + time_allowed(&admitted, &parts.headers);
+        let deadline = arrived + time_limit(&admitted, &parts.headers);
         let body = self
             .read_body(configuration, body, deadline)
             .await
@@ -121,7 +121,7 @@
         let at = rand::rng().random_range(0.0..1.0);
         let service = admitted.route.pick_service(at).cloned().ok_or_else(|| {
             let detail = "the route sends to no service";
-            refuse(&parts.headers, detail, STARTING_RETRY_AFTER)
+            refuse(&parts.headers, detail, UNCONFIGURED_RETRY_AFTER)
         })?;
         let head = RequestHead::new(parts.method, parts.uri, parts.headers, attempt_id);
         Ok(ForwardRequest {
@@ -141,7 +141,7 @@
     /// Callers whose node was killed come back in just that time, many for the last time. Where all of 295
     /// nodes start in one moment the configuration comes after 0.24 s, a large one after 1.0 s (median over
     /// the nodes, by their logs); with a wait of at most 0.1 s 245 and 611 callers were refused.
-    async fn started(&self, map: &HeaderMap) -> Arc<Snapshot> {
+    async fn configured_snapshot(&self, map: &HeaderMap) -> Arc<Snapshot> {
         let snapshot = self.snapshots.load();
         if snapshot.configuration.is_some() {
             return snapshot;
@@ -155,8 +155,8 @@
             }
         };
         // The refusal that follows tells the rest.
-        let patience = time_told(map).mul_f64(STARTING_SHARE);
-        let _ = tokio::time::timeout(patience.min(STARTING_PATIENCE), wait).await;
+        let timeout = caller_time_left(map).mul_f64(CONFIGURATION_WAIT_SHARE);
+        let _ = tokio::time::timeout(timeout.min(CONFIGURATION_TIMEOUT), wait).await;
         self.snapshots.load()
     }
 
@@ -197,7 +197,7 @@
             reason = rejection.detail,
             "request not taken"
         );
-        let mut response = own_answer(rejection.status, rejection.detail);
+        let mut response = problem_response(rejection.status, rejection.detail);
         let keeps = matches!(
             rejection.status,
             StatusCode::NOT_FOUND | StatusCode::UNAUTHORIZED
@@ -229,15 +229,14 @@
 }
 
 /// Time from the arrival until the caller or the operator gives up.
-fn time_allowed(admitted: &Admitted, map: &HeaderMap) -> Duration {
-    time_told(map).min(admitted.route.timeout)
+fn time_limit(admitted: &Admitted, map: &HeaderMap) -> Duration {
+    caller_time_left(map).min(admitted.route.timeout)
 }
 
 /// Time that the caller allows; a day where it states none.
-fn time_told(map: &HeaderMap) -> Duration {
-    let told = map
-        .get(&headers::TIME_LEFT_MS)
-        .and_then(headers::parse_number);
-    told.map_or(UNSTATED_TIME, Duration::from_millis)
-        .min(UNSTATED_TIME)
+fn caller_time_left(map: &HeaderMap) -> Duration {
+    let stated = map.get(&headers::TIME_LEFT_MS).and_then(headers::parse_number);
+    stated
+        .map_or(DEFAULT_TIME_LEFT, Duration::from_millis)
+        .min(DEFAULT_TIME_LEFT)
 }
--- a/crates/azuresaddle-edge/src/frontend/stopping.rs
+++ b/crates/azuresaddle-edge/src/frontend/shutdown.rs
@@ -7,7 +7,7 @@
 /// How far a graceful shutdown is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[repr(u8)]
-pub(crate) enum Stage {
+pub(crate) enum ShutdownStage {
     /// Not stopping.
     Serving = 0,
     /// Answers close their connections; new requests are still taken, since callers keep the
@@ -19,33 +19,33 @@
 
 /// The stage, for all connections.
 #[derive(Debug)]
-pub(crate) struct Stopping {
+pub(crate) struct Shutdown {
     stage: AtomicU8,
     changed: watch::Sender<()>,
 }
 
-impl Default for Stopping {
+impl Default for Shutdown {
     fn default() -> Self {
         Self {
-            stage: AtomicU8::new(Stage::Serving as u8),
+            stage: AtomicU8::new(ShutdownStage::Serving as u8),
             changed: watch::Sender::new(()),
         }
     }
 }
 
-impl Stopping {
+impl Shutdown {
     /// Moves on to the next stage.
     pub(crate) fn advance(&self) {
-        let next = (self.stage.load(Ordering::Relaxed) + 1).min(Stage::Refusing as u8);
+        let next = (self.stage.load(Ordering::Relaxed) + 1).min(ShutdownStage::Refusing as u8);
         self.stage.store(next, Ordering::Relaxed);
         self.changed.send_replace(());
     }
 
-    pub(crate) fn stage(&self) -> Stage {
+    pub(crate) fn stage(&self) -> ShutdownStage {
         match self.stage.load(Ordering::Relaxed) {
-            0 => Stage::Serving,
-            1 => Stage::Closing,
-            _ => Stage::Refusing,
+            0 => ShutdownStage::Serving,
+            1 => ShutdownStage::Closing,
+            _ => ShutdownStage::Refusing,
         }
     }
 
--- a/crates/azuresaddle-edge/src/node.rs
+++ b/crates/azuresaddle-edge/src/node.rs
@@ -20,8 +20,8 @@
 
 use crate::control::{Control, ControlParts};
 use crate::directory::Directory;
-use crate::forward::{Forwarder, ForwarderParts, InFlight};
-use crate::frontend::{CallerService, Stopping, serve_callers};
+use crate::forward::{Forwarder, ForwarderParts, InFlightAnswers};
+use crate::frontend::{CallerService, Shutdown, serve_callers};
 use crate::metrics::Metrics;
 use crate::operator_endpoints::OperatorEndpoints;
 use crate::peer::{PeerClients, serve_peers};
@@ -80,8 +80,8 @@
 pub struct Node {
     leaving: CancellationToken,
     closed: CancellationToken,
-    stopping: Arc<Stopping>,
-    in_flight: InFlight,
+    stopping: Arc<Shutdown>,
+    in_flight: InFlightAnswers,
     grace: Duration,
 }
 
@@ -157,8 +157,8 @@
             burn: forwarder.burn(),
             quarantine,
         });
-        let stopping = Arc::new(Stopping::default());
-        let in_flight = InFlight::default();
+        let stopping = Arc::new(Shutdown::default());
+        let in_flight = InFlightAnswers::default();
         let closed = CancellationToken::new();
         let callers = bind(&net, "callers", settings.listen.callers).await?;
         let service = CallerService::new(
