--- a/crates/azuresaddle-edge/src/frontend/admission.rs
+++ b/crates/azuresaddle-edge/src/frontend/admission.rs
@@ -1,4 +1,4 @@
-//! Which route a request takes, for which account, or why it is not taken.
+//! Finds the route and the account of a request, or the reason to reject it.
 
 use std::sync::Arc;
 
@@ -7,14 +7,14 @@
 use hyper::header::{AUTHORIZATION, HOST, HeaderMap};
 use hyper::{StatusCode, Uri};
 
-/// A request that may be relayed.
+/// Route and account of an accepted request.
 #[derive(Clone, Debug)]
 pub(super) struct Admitted {
     pub(super) route: Arc<Route>,
     pub(super) account: Option<Arc<Account>>,
 }
 
-/// A request that is not taken.
+/// Why a request is rejected, as the caller sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Rejection {
     pub(super) status: StatusCode,
@@ -28,6 +28,9 @@
 }
 
 /// Finds the route and the account of a request.
+///
+/// # Errors
+/// If the head is too long, no route matches, or the route requires an account and the key is unknown.
 pub(super) fn admit(
     configuration: &Configuration,
     uri: &Uri,
--- a/crates/azuresaddle-edge/src/frontend/connection.rs
+++ b/crates/azuresaddle-edge/src/frontend/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of a caller.
+//! Serves one connection of a caller.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -17,17 +17,18 @@
 use super::service::CallerService;
 use super::shutdown::ShutdownStage;
 
-/// Part of a head beyond its limit that is still read, to answer that it is too long.
+/// Size of the read buffer in multiples of the head limit. A head beyond its limit is still read up to this size, so
+/// that the node can answer that it is too long.
 const READ_BUFFER_FACTOR: usize = 4;
 
-/// Answer to a head that does not arrive in time; the request did not run.
+/// Answer if the head of a request does not arrive in time.
 const HEAD_TIMEOUT_ANSWER: &[u8] =
     b"HTTP/1.1 408 Request Timeout\r\nconnection: close\r\ncontent-length: 0\r\n\r\n";
 
 /// Longest wait for that answer to be written.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Why a connection is ended by this node.
+/// How a connection ended.
 enum ConnectionEnd {
     ByCaller,
     HeadTimeout,
@@ -54,7 +55,7 @@
                     let close = HeaderValue::from_static("close");
                     response.headers_mut().insert(CONNECTION, close);
                 }
-                // The guard is kept by the body, which lasts until the answer is written.
+                // The body holds the guard, so it lasts until the answer is written.
                 Ok::<_, Infallible>(response.map(|body| GuardedBody::new(body, answering)))
             }
         })
@@ -65,7 +66,7 @@
         .serve_connection(io, handler);
     let ended = loop {
         tokio::select! {
-            // An error here is a caller that left or misbehaved; the handler saw its own part.
+            // Errors mean that the caller disconnected or violated the protocol. The handler deals with its own errors.
             _ = &mut conn => break ConnectionEnd::ByCaller,
             timeout = wait_for_timeout(&activity, &service) => match timeout {
                 Timeout::Idle => Pin::new(&mut conn).graceful_shutdown(),
@@ -83,17 +84,17 @@
     }
 }
 
-/// Answers a head that did not arrive in time, and closes.
+/// Answers that the head did not arrive in time, and closes the connection.
 async fn answer_head_timeout<S: AsyncWrite + Unpin>(mut stream: S) {
     let write = async {
         stream.write_all(HEAD_TIMEOUT_ANSWER).await?;
         stream.shutdown().await
     };
-    // The connection is closed either way.
+    // The connection is closed whether or not the write succeeds.
     let _ = tokio::time::timeout(WRITE_TIMEOUT, write).await;
 }
 
-/// A bound of the connection that was reached.
+/// Which timeout of the connection was reached.
 enum Timeout {
     Idle,
     Head,
@@ -110,7 +111,7 @@
         let next = match activity.activity() {
             Activity::Idle(since) if now >= since + limits.idle_timeout => return Timeout::Idle,
             Activity::Idle(since) => {
-                // A head may begin just after; its own bound is the shorter one.
+                // A head may begin to arrive right after this check; its timeout may then end first.
                 (since + limits.idle_timeout).min(now + limits.header_timeout)
             }
             Activity::ReadingHead(since) if now >= since + limits.header_timeout => {
--- a/crates/azuresaddle-edge/src/frontend/connection_activity.rs
+++ b/crates/azuresaddle-edge/src/frontend/connection_activity.rs
@@ -1,4 +1,4 @@
-//! What a connection is doing and since when, seen from its bytes.
+//! Tracks what a connection is doing, from received bytes and answers in progress.
 
 use std::io;
 use std::pin::Pin;
@@ -11,15 +11,15 @@
 /// What a connection is doing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Activity {
-    /// Nothing, since then.
+    /// No request, since this time.
     Idle(Instant),
-    /// A head began to arrive then and is not whole.
+    /// The head of a request began to arrive at this time and is incomplete.
     ReadingHead(Instant),
     /// A request is being answered.
     Answering,
 }
 
-/// Shared view of a connection's activity.
+/// Shared state of a connection's activity.
 #[derive(Clone, Debug)]
 pub(super) struct ConnectionActivity(Arc<Mutex<Activity>>);
 
@@ -32,7 +32,7 @@
         *self.lock()
     }
 
-    /// Notes that a request is whole, until the guard is dropped.
+    /// Marks the connection as answering until the guard is dropped.
     pub(super) fn begin_answer(&self) -> AnsweringGuard {
         *self.lock() = Activity::Answering;
         AnsweringGuard(self.clone())
@@ -50,7 +50,7 @@
     }
 }
 
-/// A request that is being answered.
+/// Marks the connection as idle when dropped.
 #[derive(Debug)]
 pub(super) struct AnsweringGuard(ConnectionActivity);
 
@@ -60,7 +60,7 @@
     }
 }
 
-/// A byte stream that tells the clock of arriving bytes.
+/// A byte stream that records the arrival of bytes in [`ConnectionActivity`].
 #[derive(Debug)]
 pub(super) struct TrackedStream<S> {
     stream: S,
--- a/crates/azuresaddle-edge/src/frontend/guarded_body.rs
+++ b/crates/azuresaddle-edge/src/frontend/guarded_body.rs
@@ -1,4 +1,4 @@
-//! A body that keeps a connection's activity until it is written.
+//! An answer body that marks its connection as answering until it is written.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -9,7 +9,7 @@
 use super::connection_activity::AnsweringGuard;
 use crate::forward::{AnswerAborted, ProxyBody};
 
-/// A body with the guard of its connection.
+/// A body with the guard that marks its connection as answering.
 #[derive(Debug)]
 pub(super) struct GuardedBody {
     body: ProxyBody,
--- a/crates/azuresaddle-edge/src/frontend/listener.rs
+++ b/crates/azuresaddle-edge/src/frontend/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts callers.
+//! Accepts connections of callers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,14 +11,14 @@
 use super::connection::serve_connection;
 use super::service::CallerService;
 
-/// Pause after a failed accept, so that a lack of descriptors does not spin.
+/// Delay after a failed accept, which prevents a busy loop when file descriptors run out.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
-/// Most connections of callers: below the descriptors of the smallest hosts (4,100, of which 200
-/// are not for sockets), with room for targets and nodes.
+/// Most connections of callers. The smallest hosts have 4,100 file descriptors, of which 200 are not for sockets; the
+/// rest is for connections to targets and other nodes.
 const MAX_CONNECTIONS: usize = 2800;
 
-/// Accepts and serves callers until the spawner is killed or `closed` is cancelled.
+/// Accepts and serves connections until the spawner is killed or `closed` is cancelled.
 pub(crate) fn serve_callers<N, L>(
     mut listener: L,
     spawner: &Spawner,
@@ -43,7 +43,7 @@
             let stream = match accepted {
                 Ok(stream) => stream,
                 Err(e) => {
-                    tracing::warn!(part = "frontend", error = %e, "accept failed");
+                    tracing::warn!(part = "frontend", error = %e, "can't accept a connection");
                     tokio::time::sleep(ACCEPT_BACKOFF).await;
                     continue;
                 }
--- a/crates/azuresaddle-edge/src/frontend/mod.rs
+++ b/crates/azuresaddle-edge/src/frontend/mod.rs
@@ -1,4 +1,4 @@
-//! Callers' connections: limits, route, key, then the forwarder.
+//! Serves callers' connections: enforces limits, finds the route and the account, then forwards the request.
 
 mod admission;
 mod connection;
--- a/crates/azuresaddle-edge/src/frontend/service.rs
+++ b/crates/azuresaddle-edge/src/frontend/service.rs
@@ -22,20 +22,20 @@
 };
 use crate::snapshot::{Snapshot, Snapshots};
 
-/// Longest wait of a request for the first configuration of a node: what it takes where hundreds of
-/// nodes start in one moment and read it from one store.
+/// Longest wait of a request until the node has its first configuration. Loading takes this long if hundreds of nodes
+/// start at the same time and read from one store.
 const CONFIGURATION_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// Part of a request's own time that it may wait so; the rest is for the answer, or to come back.
+/// Part of a request's time limit that it may spend on this wait. The rest is for the answer, or for a retry.
 const CONFIGURATION_WAIT_SHARE: f64 = 0.25;
 
-/// Stands for the time of a caller that states none; longer than any route's.
+/// Time limit of a caller that states none; longer than the timeout of any route.
 const DEFAULT_TIME_LEFT: Duration = Duration::from_secs(86_400);
 
-/// Time to come back to a node that knows no configuration yet.
+/// `Retry-After` if the node has no configuration yet, or the route has no service.
 const UNCONFIGURED_RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// Time to come back, at another node, to one that is stopping.
+/// `Retry-After` if the node is stopping. It is short, since the caller retries at another node.
 const STOPPING_RETRY_AFTER: Duration = Duration::from_millis(50);
 
 /// Handles the requests of callers.
@@ -65,7 +65,7 @@
         &self.shutdown
     }
 
-    /// Limits in force.
+    /// The request limits that are in force.
     pub(super) fn limits(&self) -> RequestLimits {
         let snapshot = self.snapshots.load();
         let configuration = snapshot.configuration.as_ref();
@@ -90,7 +90,10 @@
         response.map(|body| body.with_in_flight_guard(in_flight))
     }
 
-    /// Reads a request and finds its route, or the answer that says why not.
+    /// Reads a request and finds its route and account.
+    ///
+    /// # Errors
+    /// The answer to a request that is rejected or refused.
     async fn read_request(
         &self,
         arrived: Instant,
@@ -136,11 +139,11 @@
         })
     }
 
-    /// The present snapshot; while the node has only just started, one with a configuration.
+    /// The current snapshot. If the node has just started, waits until there is a configuration or the wait times out.
     ///
-    /// Callers whose node was killed come back in just that time, many for the last time. Where all of 295
-    /// nodes start in one moment the configuration comes after 0.24 s, a large one after 1.0 s (median over
-    /// the nodes, by their logs); with a wait of at most 0.1 s 245 and 611 callers were refused.
+    /// Callers whose node was killed retry while it restarts, many of them for the last time. If 295 nodes start at the
+    /// same time, the configuration is loaded after 0.24 s, a large one after 1.0 s (median over the nodes, from their
+    /// logs). With a wait of at most 0.1 s, 245 and 611 callers were refused.
     async fn configured_snapshot(&self, map: &HeaderMap) -> Arc<Snapshot> {
         let snapshot = self.snapshots.load();
         if snapshot.configuration.is_some() {
@@ -154,7 +157,7 @@
                 }
             }
         };
-        // The refusal that follows tells the rest.
+        // If this times out, the request is refused, since there is no configuration.
         let timeout = caller_time_left(map).mul_f64(CONFIGURATION_WAIT_SHARE);
         let _ = tokio::time::timeout(timeout.min(CONFIGURATION_TIMEOUT), wait).await;
         self.snapshots.load()
@@ -185,8 +188,8 @@
         })
     }
 
-    /// Answer to a request that is not taken; the connection is closed, since a rest of the request
-    /// may follow on it.
+    /// Logs and answers a rejected request. The connection is closed, since unread bytes of the request may follow on it;
+    /// it stays open after an unknown route or key.
     fn reject(&self, map: &HeaderMap, rejection: Rejection) -> Box<Response<ProxyBody>> {
         tracing::info!(
             part = "frontend",
@@ -195,7 +198,7 @@
                 .and_then(|id| id.to_str().ok()),
             status = rejection.status.as_u16(),
             reason = rejection.detail,
-            "request not taken"
+            "request rejected"
         );
         let mut response = problem_response(rejection.status, rejection.detail);
         let keeps = matches!(
@@ -210,7 +213,7 @@
     }
 }
 
-/// Refuses a request that has gone no further than this node, with a line in the log.
+/// Logs and refuses a request that was not sent to any target.
 fn refuse(
     map: &HeaderMap,
     detail: &'static str,
@@ -223,17 +226,17 @@
             .and_then(|id| id.to_str().ok()),
         status = StatusCode::SERVICE_UNAVAILABLE.as_u16(),
         reason = detail,
-        "request not taken"
+        "request rejected"
     );
     Box::new(refusal(detail, retry_after))
 }
 
-/// Time from the arrival until the caller or the operator gives up.
+/// Time limit of a request from its arrival: the caller's, or the route's timeout if it is shorter.
 fn time_limit(admitted: &Admitted, map: &HeaderMap) -> Duration {
     caller_time_left(map).min(admitted.route.timeout)
 }
 
-/// Time that the caller allows; a day where it states none.
+/// Time limit stated by the caller; a day if it states none.
 fn caller_time_left(map: &HeaderMap) -> Duration {
     let stated = map.get(&headers::TIME_LEFT_MS).and_then(headers::parse_number);
     stated
--- a/crates/azuresaddle-edge/src/frontend/shutdown.rs
+++ b/crates/azuresaddle-edge/src/frontend/shutdown.rs
@@ -4,20 +4,20 @@
 
 use tokio::sync::watch;
 
-/// How far a graceful shutdown is.
+/// Stage of a graceful shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[repr(u8)]
 pub(crate) enum ShutdownStage {
-    /// Not stopping.
+    /// The node is not stopping.
     Serving = 0,
-    /// Answers close their connections; new requests are still taken, since callers keep the
-    /// addresses that they were told for a while.
+    /// Connections are closed after their answers. New requests are still accepted, since callers use the addresses that
+    /// they looked up for a while.
     Closing = 1,
-    /// New requests are refused as not run.
+    /// New requests are refused without being run.
     Refusing = 2,
 }
 
-/// The stage, for all connections.
+/// The stage of the shutdown, shared by all connections.
 #[derive(Debug)]
 pub(crate) struct Shutdown {
     stage: AtomicU8,
@@ -34,7 +34,7 @@
 }
 
 impl Shutdown {
-    /// Moves on to the next stage.
+    /// Advances to the next stage.
     pub(crate) fn advance(&self) {
         let next = (self.stage.load(Ordering::Relaxed) + 1).min(ShutdownStage::Refusing as u8);
         self.stage.store(next, Ordering::Relaxed);
