--- a/crates/azuresaddle-edge/src/forward/body.rs
+++ b/crates/azuresaddle-edge/src/forward/body.rs
@@ -61,7 +61,7 @@
 
 #[derive(Debug)]
 enum BodyKind {
-    Whole(Option<Bytes>),
+    Full(Option<Bytes>),
     Relayed {
         chunks: mpsc::Receiver<BodyChunk>,
         /// Cancels the relay when the caller disconnects.
@@ -70,9 +70,9 @@
 }
 
 impl ProxyBody {
-    pub(crate) fn whole(bytes: impl Into<Bytes>) -> Self {
+    pub(crate) fn full(bytes: impl Into<Bytes>) -> Self {
         Self {
-            kind: BodyKind::Whole(Some(bytes.into())),
+            kind: BodyKind::Full(Some(bytes.into())),
             in_flight: None,
         }
     }
@@ -103,7 +103,7 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, AnswerAborted>>> {
         match &mut self.kind {
-            BodyKind::Whole(bytes) => {
+            BodyKind::Full(bytes) => {
                 let bytes = bytes.take().filter(|b| !b.is_empty());
                 Poll::Ready(bytes.map(|b| Ok(Frame::data(b))))
             }
@@ -120,14 +120,14 @@
 
     fn is_end_stream(&self) -> bool {
         match &self.kind {
-            BodyKind::Whole(bytes) => bytes.as_ref().is_none_or(Bytes::is_empty),
+            BodyKind::Full(bytes) => bytes.as_ref().is_none_or(Bytes::is_empty),
             BodyKind::Relayed { .. } => false,
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match &self.kind {
-            BodyKind::Whole(bytes) => {
+            BodyKind::Full(bytes) => {
                 SizeHint::with_exact(bytes.as_ref().map_or(0, |b| b.len() as u64))
             }
             BodyKind::Relayed { .. } => SizeHint::default(),
--- a/crates/azuresaddle-edge/src/forward/event_splitter.rs
+++ b/crates/azuresaddle-edge/src/forward/event_splitter.rs
@@ -13,7 +13,7 @@
 
 /// Complete events that became available together.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) struct WholeEvents {
+pub(super) struct CompleteEvents {
     /// The events, byte for byte as received.
     pub(super) bytes: Bytes,
     /// Id of each event that has one.
@@ -24,7 +24,7 @@
 
 impl EventSplitter {
     /// Adds received bytes and returns the events that are complete now; `None` if an event is too long.
-    pub(super) fn push(&mut self, chunk: &Bytes) -> Option<WholeEvents> {
+    pub(super) fn push(&mut self, chunk: &Bytes) -> Option<CompleteEvents> {
         self.buf.extend_from_slice(chunk);
         let mut ids = Vec::new();
         let mut lengths = Vec::new();
@@ -40,7 +40,7 @@
         if self.buf.len() > MAX_EVENT_BYTES {
             return None;
         }
-        Some(WholeEvents {
+        Some(CompleteEvents {
             bytes,
             ids,
             lengths,
--- a/crates/azuresaddle-edge/src/forward/plain.rs
+++ b/crates/azuresaddle-edge/src/forward/plain.rs
@@ -48,7 +48,7 @@
 
 impl TargetAnswer {
     fn into_response(self) -> Response<ProxyBody> {
-        let mut response = Response::new(ProxyBody::whole(self.body));
+        let mut response = Response::new(ProxyBody::full(self.body));
         *response.status_mut() = self.status;
         *response.headers_mut() = self.headers;
         response
--- a/crates/azuresaddle-edge/src/forward/problem.rs
+++ b/crates/azuresaddle-edge/src/forward/problem.rs
@@ -26,7 +26,7 @@
         detail,
     };
     let json = serde_json::to_vec(&problem).expect("a problem serializes");
-    let mut response = Response::new(ProxyBody::whole(json));
+    let mut response = Response::new(ProxyBody::full(json));
     *response.status_mut() = status;
     let json = HeaderValue::from_static("application/problem+json");
     response.headers_mut().insert(CONTENT_TYPE, json);
--- a/crates/azuresaddle-edge/src/forward/stream/finish.rs
+++ b/crates/azuresaddle-edge/src/forward/stream/finish.rs
@@ -91,7 +91,7 @@
             Some(tx) => {
                 let response = refusal("no engine can serve this in time", retry_after);
                 // The caller may have disconnected.
-                let _ = tx.send(AnswerStart::Whole(Box::new(response)));
+                let _ = tx.send(AnswerStart::Complete(Box::new(response)));
             }
             // Closing the channel without `BodyChunk::End` aborts the answer that has begun.
             None => drop(self.chunks),
@@ -114,7 +114,7 @@
         if let Some(tx) = self.start_tx.take() {
             let response = refusal(QUARANTINE_DETAIL, left);
             // The caller may have disconnected.
-            let _ = tx.send(AnswerStart::Whole(Box::new(response)));
+            let _ = tx.send(AnswerStart::Complete(Box::new(response)));
         }
     }
 
@@ -142,6 +142,6 @@
             (None, _) => problem_response(StatusCode::BAD_GATEWAY, "the target broke off"),
         };
         // The caller may have disconnected.
-        let _ = tx.send(AnswerStart::Whole(Box::new(response)));
+        let _ = tx.send(AnswerStart::Complete(Box::new(response)));
     }
 }
--- a/crates/azuresaddle-edge/src/forward/stream/mod.rs
+++ b/crates/azuresaddle-edge/src/forward/stream/mod.rs
@@ -78,7 +78,7 @@
         }
     });
     match start_rx.await {
-        Ok(AnswerStart::Whole(response)) => *response,
+        Ok(AnswerStart::Complete(response)) => *response,
         Ok(AnswerStart::Events { status, headers }) => {
             let mut response = Response::new(ProxyBody::relayed(chunks_rx, guard));
             *response.status_mut() = status;
@@ -92,7 +92,7 @@
 /// Start of the answer to the caller.
 enum AnswerStart {
     /// A complete answer.
-    Whole(Box<Response<ProxyBody>>),
+    Complete(Box<Response<ProxyBody>>),
     /// The head of a stream; the events follow.
     Events {
         status: StatusCode,
--- a/crates/azuresaddle-edge/src/forward/stream/send.rs
+++ b/crates/azuresaddle-edge/src/forward/stream/send.rs
@@ -63,9 +63,9 @@
             helpers: helpers.as_deref(),
         };
         let outgoing = self.req.for_target(&options);
-        let first_event_at = self.silence_deadline(placement.first_event_timeout);
+        let first_event_by = self.silence_deadline(placement.first_event_timeout);
         let id = &self.req.head.attempt_id;
-        let timeout = time_until(first_event_at);
+        let timeout = time_until(first_event_by);
         let sent = send(
             &self.cx,
             &placement.target,
@@ -81,7 +81,7 @@
         if !response.status().is_success() {
             return self.read_failure(response, connection).await;
         }
-        self.relay(placement, response, connection, first_event_at)
+        self.relay(placement, response, connection, first_event_by)
             .await
     }
 
@@ -120,7 +120,7 @@
         if let Some(kept) = keep_alive(&parts.headers) {
             connection.return_to_pool(kept.0);
         }
-        let mut response = Response::new(ProxyBody::whole(body));
+        let mut response = Response::new(ProxyBody::full(body));
         *response.status_mut() = parts.status;
         *response.headers_mut() = parts.headers;
         strip_hop_by_hop(response.headers_mut());
@@ -133,7 +133,7 @@
         placement: &Placement<N>,
         response: Response<Incoming>,
         connection: Connection,
-        first_event_at: Instant,
+        first_event_by: Instant,
     ) -> SendOutcome {
         let (parts, mut body) = response.into_parts();
         let kept = keep_alive(&parts.headers);
@@ -145,12 +145,12 @@
             headers,
         });
         let mut splitter = EventSplitter::default();
-        let silence = (self.pause_target() * PAUSE_TIMEOUT_FACTOR).max(MIN_PAUSE_TIMEOUT);
-        let mut next_by = first_event_at;
+        let pause_timeout = (self.pause_target() * PAUSE_TIMEOUT_FACTOR).max(MIN_PAUSE_TIMEOUT);
+        let mut next_by = first_event_by;
         let mut seen_first = false;
         loop {
-            let next_by_or_end = next_by.min(self.req.deadline);
-            let chunk = match tokio::time::timeout_at(next_by_or_end, body.frame()).await {
+            let deadline = next_by.min(self.req.deadline);
+            let chunk = match tokio::time::timeout_at(deadline, body.frame()).await {
                 Err(_) => return SendOutcome::Lost(SendFailure::TimedOut),
                 Ok(None) => break,
                 Ok(Some(Err(e))) => return SendOutcome::Lost(SendFailure::Broken(e.to_string())),
@@ -166,7 +166,7 @@
                 continue;
             }
             let now = Instant::now();
-            next_by = self.silence_deadline(silence);
+            next_by = self.silence_deadline(pause_timeout);
             if let Some(last) = self.last_event_at.replace(now) {
                 self.longest_pause = self.longest_pause.max(now - last);
             }
