--- a/crates/azuresaddle-edge/src/frontend/service.rs
+++ b/crates/azuresaddle-edge/src/frontend/service.rs
@@ -238,7 +238,9 @@
 
 /// Time limit stated by the caller; a day if it states none.
 fn caller_time_left(map: &HeaderMap) -> Duration {
-    let stated = map.get(&headers::TIME_LEFT_MS).and_then(headers::parse_number);
+    let stated = map
+        .get(&headers::TIME_LEFT_MS)
+        .and_then(headers::parse_number);
     stated
         .map_or(DEFAULT_TIME_LEFT, Duration::from_millis)
         .min(DEFAULT_TIME_LEFT)
