--- a/crates/azuresaddle-node/src/traffic/run_job.rs
+++ b/crates/azuresaddle-node/src/traffic/run_job.rs
@@ -45,8 +45,8 @@
         self.record_outcome(&job, &progress, problem.as_ref());
         if let Some(problem) = problem {
             // Bounds the wait for a caller that does not read.
-            let patience = self.settings.target_timeout;
-            let _ = tokio::time::timeout(patience, sink.fail(problem)).await;
+            let timeout = self.settings.target_timeout;
+            let _ = tokio::time::timeout(timeout, sink.fail(problem)).await;
         }
     }
 
@@ -102,12 +102,12 @@
         sink: &mut CallerSink,
         progress: &mut Progress,
     ) -> Result<(), RelayError> {
-        let ran_before = progress.may_have_run;
+        let may_have_run_before = progress.may_have_run;
         progress.may_have_run = true;
         let opened = match self.start_stream(job, placement, &progress.tokens).await {
             Ok(opened) => Some(opened),
             Err(e) if e.verdict() == Verdict::NotRun => {
-                progress.may_have_run = ran_before;
+                progress.may_have_run = may_have_run_before;
                 self.report(placement, report_kind(&e, placement));
                 return Err(match e {
                     EngineError::Refused(_) => RelayError::TargetRefused(e.to_string()),
