--- a/crates/azuresaddle-standin/src/cmd/passes.rs
+++ b/crates/azuresaddle-standin/src/cmd/passes.rs
@@ -70,8 +70,8 @@
     let load: f64 = super::args::get(args, "load");
     let name: String = super::args::get(args, "sheet");
     let mut workload = Workload::named(&name, load).expect("clap allows known names only");
-    for trouble in args.get_many::<String>("trouble").into_iter().flatten() {
-        workload.faults.add(trouble);
+    for fault in args.get_many::<String>("trouble").into_iter().flatten() {
+        workload.faults.add(fault);
     }
     workload.pool_layout = super::args::get(args, "placers");
     let policies: Vec<PassPolicy> = args
--- a/crates/azuresaddle-standin/tests/suite/passes.rs
+++ b/crates/azuresaddle-standin/tests/suite/passes.rs
@@ -118,11 +118,11 @@
 }
 
 /// The large workload with a pool layout and an optional fault.
-fn large(pool_layout: PoolLayout, trouble: Option<&str>) -> Workload {
+fn large(pool_layout: PoolLayout, fault: Option<&str>) -> Workload {
     let mut workload = Workload::large(0.82);
     workload.pool_layout = pool_layout;
-    if let Some(trouble) = trouble {
-        workload.faults.add(trouble);
+    if let Some(fault) = fault {
+        workload.faults.add(fault);
     }
     workload
 }
