--- a/crates/azuresaddle-node/src/control/actor.rs
+++ b/crates/azuresaddle-node/src/control/actor.rs
@@ -237,7 +237,7 @@
             return Admission::NoRules;
         }
         if !self.store_reachable(now) && !self.reaches_majority(now) {
-            return Admission::Partitioned;
+            return Admission::CutOff;
         }
         Admission::Open
     }
--- a/crates/azuresaddle-node/src/snapshot.rs
+++ b/crates/azuresaddle-node/src/snapshot.rs
@@ -54,7 +54,7 @@
     /// No rules are known yet.
     NoRules,
     /// Neither the store nor a majority of the nodes can be reached, so the rules may be outdated.
-    Partitioned,
+    CutOff,
     /// The node is about to stop and its address is no longer returned to callers.
     Stopping,
 }
--- a/crates/azuresaddle-node/src/traffic/problems.rs
+++ b/crates/azuresaddle-node/src/traffic/problems.rs
@@ -17,7 +17,7 @@
     let detail = match admission {
         Admission::Open => return None,
         Admission::NoRules => "this node does not know the rules yet; try another address",
-        Admission::Partitioned => "this node is cut off; try another address",
+        Admission::CutOff => "this node is cut off; try another address",
         Admission::Stopping => "this node is about to stop; try another address",
     };
     Some(Problem::unavailable(
