--- a/crates/azuresaddle-edge/src/control/actor.rs
+++ b/crates/azuresaddle-edge/src/control/actor.rs
@@ -59,10 +59,10 @@
     pub(crate) snapshots: Snapshots,
     pub(crate) leaving: CancellationToken,
     /// Incarnations of nodes that did not answer a call.
-    pub(crate) no_answer: mpsc::Receiver<u64>,
+    pub(crate) unresponsive_owners: mpsc::Receiver<u64>,
     pub(crate) quarantine: Arc<SharedQuarantine>,
     /// Crash-related events that this node has observed in its own traffic.
-    pub(crate) crashes_seen: mpsc::Receiver<CrashUpdate>,
+    pub(crate) crashes_observed: mpsc::Receiver<CrashUpdate>,
     /// Target signals in the answers that this node has relayed.
     pub(crate) signals_observed: mpsc::Receiver<ObservedSignals>,
     pub(crate) metrics: Metrics,
@@ -101,9 +101,9 @@
     pub(super) is_store_unreachable: bool,
     /// When this node last received an answer from the store.
     pub(super) store_answered_at: Option<Instant>,
-    pub(super) no_answer: mpsc::Receiver<u64>,
+    pub(super) unresponsive_owners: mpsc::Receiver<u64>,
     pub(super) quarantine: Arc<SharedQuarantine>,
-    pub(super) crashes_seen: mpsc::Receiver<CrashUpdate>,
+    pub(super) crashes_observed: mpsc::Receiver<CrashUpdate>,
     pub(super) signals_observed: mpsc::Receiver<ObservedSignals>,
     pub(super) signals: SignalRecords,
     pub(super) signal_gossip: SignalGossip,
@@ -180,9 +180,9 @@
             has_listed_store: false,
             is_store_unreachable: false,
             store_answered_at: None,
-            no_answer: parts.no_answer,
+            unresponsive_owners: parts.unresponsive_owners,
             quarantine: parts.quarantine,
-            crashes_seen: parts.crashes_seen,
+            crashes_observed: parts.crashes_observed,
             signals_observed: parts.signals_observed,
             signals: SignalRecords::default(),
             signal_gossip: SignalGossip::default(),
@@ -218,12 +218,12 @@
                 },
                 Some(event) = store.recv() => self.on_store_event(event),
                 Some(fetched) = fetched_rx.recv() => self.on_fetched(fetched),
-                Some(update) = self.crashes_seen.recv() => {
-                    self.on_crash_seen(update).await;
+                Some(update) = self.crashes_observed.recv() => {
+                    self.on_crash_observed(update).await;
                     false
                 }
                 Some(observed) = self.signals_observed.recv() => self.on_signals_observed(&observed).await,
-                Some(node) = self.no_answer.recv() => self.on_no_answer(node).await,
+                Some(node) = self.unresponsive_owners.recv() => self.on_unresponsive_owner(node).await,
                 () = leaving.cancelled(), if !self.members.is_leaving() => self.on_leaving(),
                 _ = tick.tick() => self.on_tick(&fetched_tx).await,
                 () = tokio::time::sleep_until(discovery_ends), if has_deferred_configuration => self.retry_deferred_configuration(),
--- a/crates/azuresaddle-edge/src/control/crashes.rs
+++ b/crates/azuresaddle-edge/src/control/crashes.rs
@@ -35,7 +35,7 @@
 impl<N: Network> Control<N> {
     /// Handles an event that this node has observed itself: gossips it, and stores the crashes of a
     /// quarantined request.
-    pub(super) async fn on_crash_seen(&mut self, update: CrashUpdate) {
+    pub(super) async fn on_crash_observed(&mut self, update: CrashUpdate) {
         self.crash_gossip.push(update);
         match update {
             CrashUpdate::Crash(crash) => {
@@ -44,8 +44,10 @@
                     self.write_crashes(CrashWrite::Keep(known));
                 }
             }
-            CrashUpdate::GoodEnd(end) => self.remove_stored_if_cleared(end.fingerprint),
-            CrashUpdate::Pardon(request) => self.remove_stored_if_cleared(request),
+            CrashUpdate::SuccessfulRun(run) => self.remove_stored_if_cleared(run.fingerprint),
+            CrashUpdate::QuarantineLifted(fingerprint) => {
+                self.remove_stored_if_cleared(fingerprint);
+            }
         }
         self.gossip_crashes().await;
     }
@@ -56,10 +58,10 @@
         for update in all {
             let is_new = match update {
                 CrashUpdate::Crash(crash) => self.on_gossiped_crash(from, *crash).await,
-                CrashUpdate::GoodEnd(end) => self.on_gossiped_good_end(*end),
-                CrashUpdate::Pardon(request) => {
-                    let is_new = self.quarantine.end_quarantine(*request);
-                    self.remove_stored_if_cleared(*request);
+                CrashUpdate::SuccessfulRun(run) => self.on_gossiped_run(*run),
+                CrashUpdate::QuarantineLifted(fingerprint) => {
+                    let is_new = self.quarantine.lift_quarantine(*fingerprint);
+                    self.remove_stored_if_cleared(*fingerprint);
                     is_new
                 }
             };
@@ -75,10 +77,10 @@
         }
     }
 
-    fn on_gossiped_good_end(&mut self, end: SuccessfulRun) -> bool {
-        let is_new = self.quarantine.learn_good_end(end);
+    fn on_gossiped_run(&mut self, run: SuccessfulRun) -> bool {
+        let is_new = self.quarantine.learn_successful_run(run);
         if is_new {
-            self.remove_stored_if_cleared(end.fingerprint);
+            self.remove_stored_if_cleared(run.fingerprint);
         }
         is_new
     }
@@ -86,20 +88,23 @@
     /// Applies a crash from another node, and replies with what that node may not know: that the
     /// request is in quarantine here, or which of its runs ended well.
     async fn on_gossiped_crash(&mut self, from: Ipv4Addr, crash: Crash) -> bool {
-        let request = crash.fingerprint;
-        let was_quarantined = self.quarantine.standing(request).is_quarantined();
+        let fingerprint = crash.fingerprint;
+        let was_quarantined = self.quarantine.status(fingerprint).is_quarantined();
         if self.quarantine.learn_crash(crash) == CrashStatus::Known {
             return false;
         }
-        let good_ends = self.quarantine.good_ends_of(request);
-        let good_ends: Vec<CrashUpdate> = good_ends.into_iter().map(CrashUpdate::GoodEnd).collect();
-        self.send_crash_updates(from, &good_ends).await;
+        let successful_runs = self.quarantine.successful_runs_of(fingerprint);
+        let successful_runs: Vec<CrashUpdate> = successful_runs
+            .into_iter()
+            .map(CrashUpdate::SuccessfulRun)
+            .collect();
+        self.send_crash_updates(from, &successful_runs).await;
         if was_quarantined {
-            let known = self.quarantine.crashes_of(request);
+            let known = self.quarantine.crashes_of(fingerprint);
             self.send_crashes(from, &known).await;
-        } else if self.gossip_if_quarantined(request) && self.is_owner() {
+        } else if self.gossip_if_quarantined(fingerprint) && self.is_owner() {
             // Each node may have seen only one crash and stored none.
-            let known = self.quarantine.crashes_of(request);
+            let known = self.quarantine.crashes_of(fingerprint);
             self.write_crashes(CrashWrite::Keep(known));
         }
         true
@@ -107,10 +112,10 @@
 
     /// Gossips all crashes of a quarantined request, so that a node that knows a run of it that
     /// ended well can object; true if the request is in quarantine.
-    fn gossip_if_quarantined(&mut self, request: Fingerprint) -> bool {
-        let is_quarantined = self.quarantine.standing(request).is_quarantined();
+    fn gossip_if_quarantined(&mut self, fingerprint: Fingerprint) -> bool {
+        let is_quarantined = self.quarantine.status(fingerprint).is_quarantined();
         if is_quarantined {
-            for crash in self.quarantine.crashes_of(request) {
+            for crash in self.quarantine.crashes_of(fingerprint) {
                 self.crash_gossip.push(CrashUpdate::Crash(crash));
             }
         }
@@ -119,11 +124,11 @@
 
     /// Removes the crashes of a request that is no longer in quarantine from the store; only the
     /// owner does so.
-    fn remove_stored_if_cleared(&mut self, request: Fingerprint) {
-        if !self.is_owner() || self.quarantine.standing(request).is_quarantined() {
+    fn remove_stored_if_cleared(&mut self, fingerprint: Fingerprint) {
+        if !self.is_owner() || self.quarantine.status(fingerprint).is_quarantined() {
             return;
         }
-        let stored = self.stored_crashes.of_request(request);
+        let stored = self.stored_crashes.of_request(fingerprint);
         if !stored.is_empty() {
             self.write_crashes(CrashWrite::Remove(stored));
         }
@@ -226,7 +231,7 @@
     /// Removes expired quarantine records, at intervals.
     pub(super) fn expire_quarantine(&self) {
         if self.members.ticks.is_multiple_of(TICKS_PER_CLEANUP) {
-            self.quarantine.forget_old();
+            self.quarantine.remove_expired();
         }
     }
 
--- a/crates/azuresaddle-edge/src/control/failover.rs
+++ b/crates/azuresaddle-edge/src/control/failover.rs
@@ -64,7 +64,7 @@
 
 impl Members {
     /// Records that the owner did not answer a call; true if this node takes over as a result.
-    pub(super) fn on_no_answer(&mut self, now: Instant, incarnation: u64) -> bool {
+    pub(super) fn on_unresponsive_owner(&mut self, now: Instant, incarnation: u64) -> bool {
         let is_owner = self.ranked(now)[0].incarnation == incarnation;
         if !is_owner || incarnation == self.own.incarnation {
             return false;
--- a/crates/azuresaddle-edge/src/control/failover_messages.rs
+++ b/crates/azuresaddle-edge/src/control/failover_messages.rs
@@ -8,9 +8,9 @@
 
 impl<N: Network> Control<N> {
     /// Records that the owner did not answer, and sends a vote to its successor.
-    pub(super) async fn on_no_answer(&mut self, node: u64) -> bool {
+    pub(super) async fn on_unresponsive_owner(&mut self, node: u64) -> bool {
         let now = Instant::now();
-        let claimed = self.members.on_no_answer(now, node);
+        let claimed = self.members.on_unresponsive_owner(now, node);
         self.announce_claim(now, claimed).await;
         if !claimed {
             self.send_vote(now).await;
--- a/crates/azuresaddle-edge/src/control/signal_records.rs
+++ b/crates/azuresaddle-edge/src/control/signal_records.rs
@@ -139,7 +139,7 @@
     }
 
     /// Removes records that are older than `SIGNAL_RETENTION` and not known to `is_known`.
-    pub(super) fn forget_old(&mut self, now: Instant, is_known: impl Fn(&HostName) -> bool) {
+    pub(super) fn remove_expired(&mut self, now: Instant, is_known: impl Fn(&HostName) -> bool) {
         let is_recent =
             |r: &SignalRecord| now.saturating_duration_since(r.seen_at) < SIGNAL_RETENTION;
         self.records.retain(|id, r| is_recent(r) || is_known(id));
--- a/crates/azuresaddle-edge/src/control/signals.rs
+++ b/crates/azuresaddle-edge/src/control/signals.rs
@@ -134,7 +134,7 @@
     pub(super) fn expire_signals(&mut self, now: Instant) {
         if self.members.ticks.is_multiple_of(TICKS_PER_CLEANUP) {
             let known = self.registry.names();
-            self.signals.forget_old(now, |id| known.contains(id));
+            self.signals.remove_expired(now, |id| known.contains(id));
             self.registry.retain_draining(|id| self.signals.knows(id));
         }
     }
--- a/crates/azuresaddle-edge/src/control/tests/crash_gossip.rs
+++ b/crates/azuresaddle-edge/src/control/tests/crash_gossip.rs
@@ -50,7 +50,7 @@
         node.spread.push(CrashUpdate::Crash(crash));
     }
     let request = Fingerprint::of(&[&[1]]);
-    let knows = |n: &Node| n.quarantine.standing(request).is_quarantined();
+    let knows = |n: &Node| n.quarantine.status(request).is_quarantined();
     let mut most_sent = 0;
     for round in 0.. {
         if all.iter().all(knows) {
@@ -105,18 +105,18 @@
     for n in 0..100 {
         spread.push(CrashUpdate::Crash(crash(1, u64::MAX - n)));
     }
-    let mut told = 0;
+    let mut sent = 0;
     loop {
         let round = spread.next_round();
         if round.is_empty() {
             break;
         }
         assert!(round.len() <= MAX_UPDATES);
-        told += round.len();
+        sent += round.len();
         let bytes = Datagram::Crashes(round).encode();
         assert!(bytes.len() <= MAX_BYTES, "{} bytes", bytes.len());
     }
-    assert_eq!(told, 300);
+    assert_eq!(sent, 300);
 }
 
 /// Guards against an unbounded queue when hundreds of targets crash at the same moment, each with
--- a/crates/azuresaddle-edge/src/control/tests/failover.rs
+++ b/crates/azuresaddle-edge/src/control/tests/failover.rs
@@ -50,7 +50,7 @@
 async fn an_owner_that_does_not_answer_is_replaced_and_yields() {
     let start = Instant::now();
     let mut fleet = fleet(start, 2);
-    assert!(fleet[1].on_no_answer(start, 1000));
+    assert!(fleet[1].on_unresponsive_owner(start, 1000));
     assert_eq!(fleet[1].live_nodes(start).1, 2000);
     deliver_claim(&mut fleet, 2, start);
     assert_eq!(owners(&fleet, start), [2000], "the earlier owner yields");
@@ -105,7 +105,10 @@
     let mut fleet = fleet(now, 300);
     let mut claims = Vec::new();
     for n in 200..300 {
-        assert!(!fleet[n].on_no_answer(now, 1000), "no node acts alone");
+        assert!(
+            !fleet[n].on_unresponsive_owner(now, 1000),
+            "no node acts alone"
+        );
         let (to, vote) = fleet[n].vote(now).expect("a vote");
         let index = usize::from(to.octets()[3]) - 1;
         if fleet[index].on_vote(now, vote) {
@@ -122,12 +125,12 @@
 async fn a_successor_that_does_not_take_over_is_skipped() {
     let start = Instant::now();
     let mut fleet = fleet(start, 20);
-    fleet[9].on_no_answer(start, 1000);
+    fleet[9].on_unresponsive_owner(start, 1000);
     assert_eq!(fleet[9].vote(start).map(|v| v.0), Some(ip(2)));
     let mut now = start;
     while now < start + Duration::from_millis(600) {
         now = advance(&mut fleet[9], now, TICK);
-        fleet[9].on_no_answer(now, 1000);
+        fleet[9].on_unresponsive_owner(now, 1000);
     }
     assert_eq!(fleet[9].vote(now).map(|v| v.0), Some(ip(3)));
 }
@@ -136,7 +139,7 @@
 async fn an_owner_that_answers_again_is_suspected_no_more() {
     let start = Instant::now();
     let mut fleet = fleet(start, 20);
-    fleet[9].on_no_answer(start, 1000);
+    fleet[9].on_unresponsive_owner(start, 1000);
     let now = advance(&mut fleet[9], start, Duration::from_millis(1200));
     assert_eq!(fleet[9].vote(now), None);
     assert_eq!(fleet[9].live_nodes(now).1, 1000);
--- a/crates/azuresaddle-edge/src/forward/attempt.rs
+++ b/crates/azuresaddle-edge/src/forward/attempt.rs
@@ -173,8 +173,8 @@
     if closes {
         return None;
     }
-    let told = map.get(&KEEP_ALIVE).and_then(|v| v.to_str().ok());
-    let seconds = told.and_then(|v| {
+    let announced = map.get(&KEEP_ALIVE).and_then(|v| v.to_str().ok());
+    let seconds = announced.and_then(|v| {
         v.split(',')
             .find_map(|p| p.trim().strip_prefix("timeout="))
             .and_then(|s| s.trim().parse().ok())
--- a/crates/azuresaddle-edge/src/forward/broken_sends.rs
+++ b/crates/azuresaddle-edge/src/forward/broken_sends.rs
@@ -30,7 +30,7 @@
     pub(super) broken_at: Instant,
 }
 
-/// Sends without an answer to targets that did not appear to have ended: either something in front of the target still
+/// Sends without an answer to targets that did not appear to have crashed: either something in front of the target still
 /// accepts connections, or connection attempts get no response.
 #[derive(Debug, Default)]
 pub(super) struct BrokenSends(Mutex<VecDeque<BrokenSend>>);
@@ -46,13 +46,15 @@
     }
 
     /// Removes and returns the sends whose target has restarted since, according to `targets`.
-    pub(super) fn take_ended(&self, targets: &TargetSet) -> Vec<BrokenSend> {
+    pub(super) fn take_crashed(&self, targets: &TargetSet) -> Vec<BrokenSend> {
         let mut broken_sends = self.lock();
         let now = Instant::now();
         broken_sends.retain(|b| now - b.broken_at < RETENTION);
-        let (ended, others) = broken_sends.drain(..).partition(|b| has_ended(b, targets));
+        let (crashed, others) = broken_sends
+            .drain(..)
+            .partition(|b| has_crashed(b, targets));
         *broken_sends = others;
-        ended.into()
+        crashed.into()
     }
 
     fn lock(&self) -> MutexGuard<'_, VecDeque<BrokenSend>> {
@@ -61,7 +63,7 @@
 }
 
 /// Whether the target has restarted, or another target now has its address.
-fn has_ended(broken: &BrokenSend, targets: &TargetSet) -> bool {
+fn has_crashed(broken: &BrokenSend, targets: &TargetSet) -> bool {
     let target = &broken.target;
     let is_other = |t: &TargetEntry, addr: SocketAddr| t.addr == addr && t.id != target.id;
     let mut of_service = targets.of_service(&target.service).iter();
--- a/crates/azuresaddle-edge/src/forward/choose_target.rs
+++ b/crates/azuresaddle-edge/src/forward/choose_target.rs
@@ -24,11 +24,11 @@
             let Some(limit) = snapshot.rate_limits.get(&target.id).copied() else {
                 return Some((target, in_flight));
             };
-            let ask = PermitRequest {
+            let request = PermitRequest {
                 target: target.id.clone(),
                 limit,
             };
-            match self.placement.permit(ask).await {
+            match self.placement.permit(request).await {
                 Ok(()) => return Some((target, in_flight)),
                 Err(wait) => {
                     self.metrics.on_held_back(service, "rate-limit");
--- a/crates/azuresaddle-edge/src/forward/crash_check.rs
+++ b/crates/azuresaddle-edge/src/forward/crash_check.rs
@@ -28,7 +28,7 @@
     sent_at: Instant,
 ) {
     // The check must not delay the answer beyond the deadline.
-    if !time_until(req.deadline).is_zero() && has_ended(cx, target).await {
+    if !time_until(req.deadline).is_zero() && has_crashed(cx, target).await {
         tracing::info!(
             part = "forward",
             request = req.head.id(),
@@ -52,42 +52,42 @@
 
 /// Records a good end of a run, after the time in which the target would crash: the answer may be complete although the
 /// request makes the target crash right after it.
-pub(super) fn record_good_end<N: Network>(
+pub(super) fn record_successful_run<N: Network>(
     cx: &Arc<Forwarder<N>>,
     req: &ForwardRequest,
     target: &TargetEntry,
     sent_at: Instant,
 ) {
-    let end = SuccessfulRun {
+    let run = SuccessfulRun {
         fingerprint: req.fingerprint,
         run: xxhash_rust::xxh3::xxh3_64(req.head.id().as_bytes()),
     };
     if !cx.quarantine.knows(req.fingerprint) {
-        return cx.quarantine.remember_good_end(end, target);
+        return cx.quarantine.remember_successful_run(run, target);
     }
     let (cx, target) = (Arc::clone(cx), target.clone());
     cx.spawner.clone().spawn(async move {
         tokio::time::sleep(SURVIVAL_TIME).await;
         let has_restarted = cx.snapshots.load().targets.has_restarted(&target);
         // The restart may have been before the send, so that the restarted target served the request.
-        let has_restarted = has_restarted && !cx.quarantine.has_ended_before(&target, sent_at);
-        if has_restarted || has_ended(&cx, &target).await {
+        let has_restarted = has_restarted && !cx.quarantine.has_crashed_before(&target, sent_at);
+        if has_restarted || has_crashed(&cx, &target).await {
             tracing::info!(
                 part = "forward",
-                fingerprint = %end.fingerprint,
+                fingerprint = %run.fingerprint,
                 target = %target.id,
                 "target ended after a complete answer"
             );
-            cx.quarantine.on_crash(end.fingerprint, &target, sent_at);
+            cx.quarantine.on_crash(run.fingerprint, &target, sent_at);
         } else {
-            cx.quarantine.on_good_end(end);
+            cx.quarantine.on_successful_run(run);
         }
     });
 }
 
 /// Whether nothing listens at the target's address any more. A send also fails if the network resets the connection or
 /// the answer can't be parsed, but then the target accepts a new connection.
-async fn has_ended<N: Network>(cx: &Forwarder<N>, target: &TargetEntry) -> bool {
+async fn has_crashed<N: Network>(cx: &Forwarder<N>, target: &TargetEntry) -> bool {
     let share = cx.connection_share(target);
     let connect = cx.connections.checkout_new(&target.id, target.addr, share);
     match tokio::time::timeout(CONNECT_TIMEOUT, connect).await {
@@ -104,7 +104,7 @@
 /// Records a crash for each broken send whose target has since restarted.
 pub(super) fn record_late_crashes<N: Network>(cx: &Forwarder<N>) {
     let snapshot = cx.snapshots.load();
-    for broken in cx.broken_sends.take_ended(&snapshot.targets) {
+    for broken in cx.broken_sends.take_crashed(&snapshot.targets) {
         tracing::info!(
             part = "forward",
             request = broken.attempt_id,
--- a/crates/azuresaddle-edge/src/forward/forwarder.rs
+++ b/crates/azuresaddle-edge/src/forward/forwarder.rs
@@ -14,7 +14,7 @@
 use super::crash_check::record_late_crashes;
 use super::disconnect_log::DisconnectLog;
 use super::head::ForwardRequest;
-use super::pace_check::run_pace_checks;
+use super::pace_probes::run_pace_probes;
 use super::plain::forward_plain;
 use super::retry_budget::RetryBudget;
 use super::stream::forward_stream;
@@ -85,13 +85,13 @@
     }
 
     /// Starts the task that queries the pace of each engine received from `engines` and reports it to `owner`.
-    pub(crate) fn check_paces(
+    pub(crate) fn probe_paces(
         self: &Arc<Self>,
         owner: Arc<Owner>,
         engines: mpsc::Receiver<HostName>,
     ) {
-        let checks = run_pace_checks(Arc::clone(self), owner, engines);
-        self.spawner.spawn(checks);
+        let probes = run_pace_probes(Arc::clone(self), owner, engines);
+        self.spawner.spawn(probes);
     }
 
     /// Forwards one request and returns the answer for the caller.
--- a/crates/azuresaddle-edge/src/forward/mod.rs
+++ b/crates/azuresaddle-edge/src/forward/mod.rs
@@ -9,7 +9,7 @@
 mod event_splitter;
 mod forwarder;
 mod head;
-mod pace_check;
+mod pace_probes;
 mod plain;
 mod problem;
 mod reservations;
--- a/crates/azuresaddle-edge/src/forward/pace_check.rs
+++ b/crates/azuresaddle-edge/src/forward/pace_probes.rs
@@ -12,7 +12,7 @@
 use crate::placement::Owner;
 
 /// Queries each engine received from `engines` concurrently, and reports its pace to the owner.
-pub(super) async fn run_pace_checks<N: Network>(
+pub(super) async fn run_pace_probes<N: Network>(
     cx: Arc<Forwarder<N>>,
     owner: Arc<Owner>,
     mut engines: mpsc::Receiver<HostName>,
--- a/crates/azuresaddle-edge/src/forward/plain.rs
+++ b/crates/azuresaddle-edge/src/forward/plain.rs
@@ -15,7 +15,7 @@
 
 use super::attempt::{SendFailure, keep_alive, send, time_until};
 use super::body::ProxyBody;
-use super::crash_check::{check_for_crash, record_good_end};
+use super::crash_check::{check_for_crash, record_successful_run};
 use super::forwarder::Forwarder;
 use super::head::{ForwardRequest, SendOptions, strip_hop_by_hop};
 use super::problem::{problem_response, refusal};
@@ -70,7 +70,7 @@
         if time_until(req.deadline).is_zero() {
             return history.give_up(cx, req, StatusCode::GATEWAY_TIMEOUT, "no answer in time");
         }
-        if let RequestStatus::Quarantined { left } = cx.quarantine.standing(req.fingerprint) {
+        if let RequestStatus::Quarantined { left } = cx.quarantine.status(req.fingerprint) {
             record_quarantine_refusal(cx, req);
             return history.refuse_quarantined(cx, req, left);
         }
@@ -89,7 +89,7 @@
         let result = send_plain(cx, req, &target, timeout).await;
         drop(in_flight);
         if result.as_ref().is_ok_and(|a| a.status.is_success()) {
-            record_good_end(cx, req, &target, started);
+            record_successful_run(cx, req, &target, started);
         }
         match result {
             Ok(answer) if answer.is_failure() && may_retry && cx.try_take_retry(&req.service) => {
--- a/crates/azuresaddle-edge/src/forward/stream/finish.rs
+++ b/crates/azuresaddle-edge/src/forward/stream/finish.rs
@@ -106,7 +106,7 @@
         }
         self.completion.set();
         self.record_sample(StreamEnd::Refused);
-        let left = match self.cx.quarantine.standing(self.req.fingerprint) {
+        let left = match self.cx.quarantine.status(self.req.fingerprint) {
             RequestStatus::Quarantined { left } => left,
             // The quarantine ended just now, for example by a good end on another node.
             RequestStatus::Clear | RequestStatus::Suspect => DEFAULT_RETRY_AFTER,
--- a/crates/azuresaddle-edge/src/forward/stream/mod.rs
+++ b/crates/azuresaddle-edge/src/forward/stream/mod.rs
@@ -21,7 +21,7 @@
 
 use super::attempt::{SendFailure, time_until};
 use super::body::{BodyChunk, ProxyBody};
-use super::crash_check::record_good_end;
+use super::crash_check::record_successful_run;
 use super::disconnect_log::{CompletionFlag, DisconnectLog};
 use super::forwarder::Forwarder;
 use super::head::ForwardRequest;
@@ -186,7 +186,7 @@
                     return self.refuse_quarantined();
                 }
                 SendOutcome::Complete => {
-                    record_good_end(&self.cx, &self.req, &placement.target, sent_at);
+                    record_successful_run(&self.cx, &self.req, &placement.target, sent_at);
                     self.cx.metrics.on_send(&self.req.service, "answered");
                     self.log(&lead, "stream complete");
                     self.record_sample(StreamEnd::Complete);
--- a/crates/azuresaddle-edge/src/forward/stream/placement.rs
+++ b/crates/azuresaddle-edge/src/forward/stream/placement.rs
@@ -103,8 +103,8 @@
             return Err(back_off);
         }
         loop {
-            let asked_at = Instant::now();
-            let ask = PlaceRequest {
+            let requested_at = Instant::now();
+            let request = PlaceRequest {
                 service: Arc::clone(&self.req.service),
                 account: self.req.account_name(),
                 prompt_tokens,
@@ -116,10 +116,10 @@
                 exclude: self.excluded(),
                 suspect: self.cx.quarantine.suspect(self.req.fingerprint),
             };
-            let placed = self.cx.placement.place(ask).await?;
+            let placed = self.cx.placement.place(request).await?;
             self.cx
                 .metrics
-                .on_placed(&self.req.service, asked_at.elapsed());
+                .on_placed(&self.req.service, requested_at.elapsed());
             let snapshot = self.cx.snapshots.load();
             let known = snapshot.targets.get(&placed.lead);
             let usable = known.filter(|t| !self.cx.health.is_address_reused(&t.id));
--- a/crates/azuresaddle-edge/src/forward/stream/send.rs
+++ b/crates/azuresaddle-edge/src/forward/stream/send.rs
@@ -43,7 +43,7 @@
         if self
             .cx
             .quarantine
-            .standing(self.req.fingerprint)
+            .status(self.req.fingerprint)
             .is_quarantined()
         {
             return SendOutcome::Quarantined;
--- a/crates/azuresaddle-edge/src/forward/tests/broken_sends.rs
+++ b/crates/azuresaddle-edge/src/forward/tests/broken_sends.rs
@@ -52,13 +52,13 @@
         let (broken_sends, fingerprint) = broken();
         assert!(
             broken_sends
-                .take_ended(&set(&[target("i-1", 1, 5)]))
+                .take_crashed(&set(&[target("i-1", 1, 5)]))
                 .is_empty()
         );
-        let ended = broken_sends.take_ended(&set(&[later, target("i-3", 3, 1)]));
-        assert_eq!(ended.len(), 1);
-        assert_eq!(ended[0].fingerprint, fingerprint);
-        assert!(broken_sends.take_ended(&set(&[])).is_empty());
+        let crashed = broken_sends.take_crashed(&set(&[later, target("i-3", 3, 1)]));
+        assert_eq!(crashed.len(), 1);
+        assert_eq!(crashed[0].fingerprint, fingerprint);
+        assert!(broken_sends.take_crashed(&set(&[])).is_empty());
     }
 }
 
@@ -68,7 +68,7 @@
     let (broken_sends, _) = broken();
     assert!(
         broken_sends
-            .take_ended(&set(&[target("i-2", 2, 9)]))
+            .take_crashed(&set(&[target("i-2", 2, 9)]))
             .is_empty()
     );
 }
@@ -79,7 +79,7 @@
     tokio::time::advance(Duration::from_secs(11)).await;
     assert!(
         broken_sends
-            .take_ended(&set(&[target("i-1", 1, 6)]))
+            .take_crashed(&set(&[target("i-1", 1, 6)]))
             .is_empty()
     );
 }
@@ -92,7 +92,9 @@
         broken_sends.push(broken_send(fingerprint));
     }
     assert_eq!(
-        broken_sends.take_ended(&set(&[target("i-1", 1, 6)])).len(),
+        broken_sends
+            .take_crashed(&set(&[target("i-1", 1, 6)]))
+            .len(),
         256
     );
 }
--- a/crates/azuresaddle-edge/src/node.rs
+++ b/crates/azuresaddle-edge/src/node.rs
@@ -46,7 +46,7 @@
 const SIGNAL_QUEUE_CAPACITY: usize = 256;
 
 /// Most engines that wait for a query of their pace. A pool that suspects more of them asks again later.
-const PACE_QUESTION_QUEUE_CAPACITY: usize = 64;
+const PACE_PROBE_QUEUE_CAPACITY: usize = 64;
 
 /// Interval at which a stopping node checks whether all answers are finished.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
@@ -105,7 +105,7 @@
         let control_spawner = spawner.on_runtime(control);
         let (unresponsive_owners, unresponsive_owners_rx) =
             mpsc::channel(UNRESPONSIVE_OWNER_QUEUE_CAPACITY);
-        let (crashes, crashes_seen) = mpsc::channel(CRASH_QUEUE_CAPACITY);
+        let (crashes, crashes_observed) = mpsc::channel(CRASH_QUEUE_CAPACITY);
         let quarantine = SharedQuarantine::new(crashes, metrics.clone());
         let (signals, signals_observed) = mpsc::channel(SIGNAL_QUEUE_CAPACITY);
         Control::spawn(ControlParts {
@@ -117,16 +117,16 @@
             socket,
             snapshots: snapshots.clone(),
             leaving: leaving.clone(),
-            no_answer: unresponsive_owners_rx,
+            unresponsive_owners: unresponsive_owners_rx,
             quarantine: Arc::clone(&quarantine),
-            crashes_seen,
+            crashes_observed,
             signals_observed,
             metrics: metrics.clone(),
         });
-        let (pace_questions, pace_questions_rx) = mpsc::channel(PACE_QUESTION_QUEUE_CAPACITY);
+        let (pace_probes, pace_probes_rx) = mpsc::channel(PACE_PROBE_QUEUE_CAPACITY);
         let all = PassOptions::default();
         let placing = options.without.iter().fold(all, |o, m| o.without(*m));
-        let owner = Owner::spawn(&spawner, &snapshots, incarnation, placing, pace_questions);
+        let owner = Owner::spawn(&spawner, &snapshots, incarnation, placing, pace_probes);
         let peer_addr = SocketAddr::from((settings.ip, settings.peer_port));
         let peers = bind(&net, "calls between nodes", peer_addr).await?;
         let served = Arc::clone(&owner);
@@ -151,7 +151,7 @@
             metrics: metrics.clone(),
         };
         let forwarder = Forwarder::spawn(net.clone(), &settings, parts);
-        forwarder.check_paces(owner, pace_questions_rx);
+        forwarder.probe_paces(owner, pace_probes_rx);
         let endpoints = Arc::new(OperatorEndpoints {
             metrics,
             burn: forwarder.burn(),
--- a/crates/azuresaddle-edge/src/operator_endpoints.rs
+++ b/crates/azuresaddle-edge/src/operator_endpoints.rs
@@ -39,11 +39,11 @@
 }
 
 impl OperatorEndpoints {
-    fn end_quarantine(&self, request: &str) -> Response<Body> {
+    fn lift_quarantine(&self, request: &str) -> Response<Body> {
         let Ok(request) = request.parse::<Fingerprint>() else {
             return status(StatusCode::BAD_REQUEST);
         };
-        if self.quarantine.end_quarantine_everywhere(request) {
+        if self.quarantine.lift_quarantine_everywhere(request) {
             status(StatusCode::NO_CONTENT)
         } else {
             status(StatusCode::NOT_FOUND)
@@ -60,7 +60,7 @@
             BURN_PATH => json(&self.burn.counts(Instant::now())),
             QUARANTINE_PATH => json(&self.quarantine.list()),
             _ => match below(QUARANTINE_PATH) {
-                Some(request) if req.method() == Method::DELETE => self.end_quarantine(request),
+                Some(request) if req.method() == Method::DELETE => self.lift_quarantine(request),
                 _ => status(StatusCode::NOT_FOUND),
             },
         }
--- a/crates/azuresaddle-edge/src/placement/owner.rs
+++ b/crates/azuresaddle-edge/src/placement/owner.rs
@@ -25,19 +25,19 @@
     /// Wakes the timer task when its next wake-up may have changed.
     changed: Notify,
     /// Engines whose pace, the time of their work relative to a usual engine, should be queried.
-    pace_questions: mpsc::Sender<HostName>,
+    pace_probes: mpsc::Sender<HostName>,
 }
 
 impl Owner {
     /// Creates the pools and starts the tasks that apply snapshots and run the pools' timers.
     ///
-    /// Engines whose pace should be queried are sent to `pace_questions`; pass the answers to [`Self::on_pace`].
+    /// Engines whose pace should be queried are sent to `pace_probes`; pass the answers to [`Self::on_pace`].
     pub(crate) fn spawn(
         spawner: &Spawner,
         snapshots: &Snapshots,
         node: u64,
         options: PassOptions,
-        pace_questions: mpsc::Sender<HostName>,
+        pace_probes: mpsc::Sender<HostName>,
     ) -> Arc<Self> {
         let state = OwnerState {
             options,
@@ -46,7 +46,7 @@
         let owner = Arc::new(Self {
             state: Mutex::new(state),
             changed: Notify::new(),
-            pace_questions,
+            pace_probes,
         });
         spawner.spawn(Arc::clone(&owner).follow_snapshots(snapshots.clone(), node));
         spawner.spawn(Arc::clone(&owner).run_timer());
@@ -140,7 +140,7 @@
         let (tx, rx) = oneshot::channel();
         state.waiters.insert(message.id, tx);
         state.dispatch(now);
-        self.queue_pace_questions(&mut state, now);
+        self.queue_pace_probes(&mut state, now);
         let waits = state.waiters.contains_key(&message.id);
         drop(state);
         if waits {
@@ -175,15 +175,15 @@
             }
         }
         state.dispatch(now);
-        self.queue_pace_questions(&mut state, now);
+        self.queue_pace_probes(&mut state, now);
         drop(state);
         self.changed.notify_one();
     }
 
-    fn queue_pace_questions(&self, state: &mut OwnerState, now: Instant) {
-        for engine in state.take_pace_questions(now) {
+    fn queue_pace_probes(&self, state: &mut OwnerState, now: Instant) {
+        for engine in state.take_pace_probes(now) {
             // If the queue is full, the pool asks for this engine again at the next overdue event.
-            let _ = self.pace_questions.try_send(engine);
+            let _ = self.pace_probes.try_send(engine);
         }
     }
 
@@ -197,7 +197,7 @@
         tracing::info!(part = "placement", target = %engine, pace, streams, started, "engine reported its pace");
         let mut state = self.lock();
         for pool in state.pools.values_mut() {
-            if pool.note_start(now, engine, report.started) {
+            if pool.record_start(now, engine, report.started) {
                 pool.on_pace(now, engine, pace);
             }
         }
--- a/crates/azuresaddle-edge/src/placement/owner_state.rs
+++ b/crates/azuresaddle-edge/src/placement/owner_state.rs
@@ -19,9 +19,9 @@
 /// the time that a short prompt can wait.
 const MAX_HANDOVER_WAIT: Duration = Duration::from_millis(120);
 
-/// Shortest time between two rounds of placement while requests wait: a tenth of a pass, so no request
+/// Shortest time between two dispatches of placement while requests wait: a tenth of a pass, so no request
 /// waits longer by more than that.
-const MIN_ROUND_INTERVAL: Duration = Duration::from_millis(4);
+const MIN_DISPATCH_INTERVAL: Duration = Duration::from_millis(4);
 
 /// State of [`Owner`](super::Owner), guarded by its lock.
 #[derive(Default)]
@@ -44,11 +44,11 @@
     /// Token buckets of plain targets that have a rate limit.
     pub(super) plain_target_buckets: HashMap<HostName, RateBucket>,
     /// When the next round may begin; `None` if the last one left no request waiting.
-    pub(super) next_round: Option<Instant>,
-    /// Whether a round was postponed until `next_round`.
-    pub(super) is_round_due: bool,
-    /// Number of rounds so far, which tests check.
-    pub(super) rounds: u64,
+    pub(super) next_dispatch: Option<Instant>,
+    /// Whether a round was postponed until `next_dispatch`.
+    pub(super) is_dispatch_due: bool,
+    /// Number of dispatches so far, which tests check.
+    pub(super) dispatches: u64,
 }
 
 /// The time in which a new owner waits for the nodes to send their streams. Without this wait all engines seemed
@@ -109,7 +109,7 @@
             handover.update_nodes(snapshot, &self.nodes);
         }
         if is_owner != self.is_owner {
-            self.set_placing(now, is_owner);
+            self.set_owner(now, is_owner);
         }
         self.is_owner = is_owner;
     }
@@ -143,7 +143,7 @@
             pool.set_spec(spec);
             for target in targets.of_service(&service.name) {
                 pool.upsert_engine(now, &target.id, &target.domain, false);
-                pool.note_start(now, &target.id, target.started);
+                pool.record_start(now, &target.id, target.started);
             }
             pool.retain_engines(|id| targets.get(id).is_some());
         }
@@ -152,10 +152,10 @@
     }
 
     /// Sets whether this node places for all nodes. Drops the rate counts of an earlier ownership.
-    fn set_placing(&mut self, now: Instant, is_placing: bool) {
+    fn set_owner(&mut self, now: Instant, is_owner: bool) {
         self.plain_target_buckets.clear();
         for pool in self.pools.values_mut() {
-            pool.set_owner(now, is_placing);
+            pool.set_owner(now, is_owner);
         }
     }
 
@@ -231,7 +231,7 @@
     }
 
     /// Engines whose pace should be queried; none if another node is the owner.
-    pub(super) fn take_pace_questions(&mut self, now: Instant) -> Vec<HostName> {
+    pub(super) fn take_pace_probes(&mut self, now: Instant) -> Vec<HostName> {
         if !self.is_owner {
             return Vec::new();
         }
@@ -241,17 +241,17 @@
 
     /// Places waiting requests where there is room, and sends the decisions.
     ///
-    /// While requests wait, events are collected into rounds. A round for each event would spend the owner's CPU time on
+    /// While requests wait, events are collected into dispatches. A round for each event would spend the owner's CPU time on
     /// requests that find no room, and delay those that would.
     pub(super) fn dispatch(&mut self, now: Instant) {
         if self.is_taking_over(now) {
             return;
         }
-        if self.next_round.is_some_and(|at| now < at) {
-            self.is_round_due = true;
+        if self.next_dispatch.is_some_and(|at| now < at) {
+            self.is_dispatch_due = true;
             return;
         }
-        self.rounds += 1;
+        self.dispatches += 1;
         let Self { pools, waiters, .. } = self;
         for pool in pools.values_mut() {
             pool.dispatch(now);
@@ -266,8 +266,8 @@
             }
         }
         let is_waiting = self.pools.values().any(|p| p.waiting() > 0);
-        self.next_round = is_waiting.then(|| now + MIN_ROUND_INTERVAL);
-        self.is_round_due = false;
+        self.next_dispatch = is_waiting.then(|| now + MIN_DISPATCH_INTERVAL);
+        self.is_dispatch_due = false;
     }
 
     /// When [`Self::dispatch`] must be called if no event occurs before.
@@ -275,8 +275,8 @@
         if let Some(handover) = &self.handover {
             return Some(handover.until);
         }
-        if self.is_round_due {
-            return self.next_round;
+        if self.is_dispatch_due {
+            return self.next_dispatch;
         }
         let pools = self.pools.values();
         pools.filter_map(|p| p.next_wakeup(now)).min()
--- a/crates/azuresaddle-edge/src/placement/tests/rounds.rs
+++ b/crates/azuresaddle-edge/src/placement/tests/dispatches.rs
@@ -30,7 +30,7 @@
     }
 }
 
-fn ask(now: Instant, number: u64) -> PlacementRequest {
+fn make_request(now: Instant, number: u64) -> PlacementRequest {
     PlacementRequest {
         id: PlacementId { node: 1, number },
         account: ClientAccount::new(format!("account-{number}")),
@@ -61,31 +61,31 @@
     now: Instant,
     number: u64,
 ) -> oneshot::Receiver<PlacementDecision> {
-    let ask = ask(now, number);
+    let request = make_request(now, number);
     let (tx, rx) = oneshot::channel();
-    state.waiters.insert(ask.id, tx);
+    state.waiters.insert(request.id, tx);
     let pool = state.pools.get_mut("svc").expect("the pool");
-    pool.enqueue(now, ask);
+    pool.enqueue(now, request);
     state.dispatch(now);
     rx
 }
 
 #[tokio::test(start_paused = true)]
-async fn requests_that_find_no_room_at_the_same_time_share_a_round() {
+async fn requests_that_find_no_room_at_the_same_time_share_a_dispatch() {
     let now = Instant::now();
     let mut state = state(now);
-    let _asked: Vec<_> = (0..200).map(|n| arrive(&mut state, now, n)).collect();
-    assert!(state.rounds <= 3, "{} rounds", state.rounds);
-    let next = state.next_wakeup(now).expect("a round is due");
+    let _decisions: Vec<_> = (0..200).map(|n| arrive(&mut state, now, n)).collect();
+    assert!(state.dispatches <= 3, "{} dispatches", state.dispatches);
+    let next = state.next_wakeup(now).expect("a dispatch is due");
     assert!(next <= now + Duration::from_millis(5));
     state.dispatch(next);
-    assert!(!state.is_round_due);
+    assert!(!state.is_dispatch_due);
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_request_that_finds_room_is_placed_at_once() {
     let now = Instant::now();
     let mut state = state(now);
-    let _asked = arrive(&mut state, now, 1);
+    let _decision = arrive(&mut state, now, 1);
     assert_eq!(state.pools["svc"].running(), 1);
 }
--- a/crates/azuresaddle-edge/src/placement/tests/mod.rs
+++ b/crates/azuresaddle-edge/src/placement/tests/mod.rs
@@ -1,5 +1,5 @@
 //! Tests of placement at the owner.
 
+mod dispatches;
 mod handover;
 mod permits;
-mod rounds;
--- a/crates/azuresaddle-edge/src/quarantine/shared.rs
+++ b/crates/azuresaddle-edge/src/quarantine/shared.rs
@@ -21,7 +21,7 @@
 pub(crate) struct SharedQuarantine {
     quarantine: Mutex<Quarantine>,
     /// Good ends of requests that `quarantine` has no record of.
-    recent_good_ends: Mutex<RecentSuccessfulRuns>,
+    recent_successful_runs: Mutex<RecentSuccessfulRuns>,
     /// Number of requests in `quarantine`; if it is 0, checks do not take the lock.
     known_requests: AtomicUsize,
     /// Incremented for each request that is quarantined.
@@ -36,7 +36,7 @@
     pub(crate) fn new(observed: mpsc::Sender<CrashUpdate>, metrics: Metrics) -> Arc<Self> {
         Arc::new(Self {
             quarantine: Mutex::default(),
-            recent_good_ends: Mutex::default(),
+            recent_successful_runs: Mutex::default(),
             known_requests: AtomicUsize::new(0),
             changes: watch::Sender::new(0),
             observed,
@@ -44,31 +44,31 @@
         })
     }
 
-    /// The present standing of a request.
-    pub(crate) fn standing(&self, request: Fingerprint) -> RequestStatus {
+    /// Present status of a request.
+    pub(crate) fn status(&self, fingerprint: Fingerprint) -> RequestStatus {
         if self.known_requests.load(Ordering::Relaxed) == 0 {
             return RequestStatus::Clear;
         }
-        self.lock().status(Instant::now(), request)
+        self.lock().status(Instant::now(), fingerprint)
     }
 
     /// The request as a suspect, if a target ended while it processed it; `None` if the request is clear.
-    pub(crate) fn suspect(&self, request: Fingerprint) -> Option<Suspect> {
+    pub(crate) fn suspect(&self, fingerprint: Fingerprint) -> Option<Suspect> {
         if self.known_requests.load(Ordering::Relaxed) == 0 {
             return None;
         }
         let state = self.lock();
-        let is_suspect = state.status(Instant::now(), request) != RequestStatus::Clear;
+        let is_suspect = state.status(Instant::now(), fingerprint) != RequestStatus::Clear;
         is_suspect.then(|| Suspect {
-            fingerprint: request,
-            needs_isolation: state.is_one_crash_from_quarantine(Instant::now(), request),
+            fingerprint,
+            needs_isolation: state.is_one_crash_from_quarantine(Instant::now(), fingerprint),
         })
     }
 
     /// Waits until a request is quarantined. Never returns if that does not happen.
-    pub(crate) async fn until_quarantined(&self, request: Fingerprint) {
+    pub(crate) async fn until_quarantined(&self, fingerprint: Fingerprint) {
         let mut changes = self.changes.subscribe();
-        while !self.standing(request).is_quarantined() {
+        while !self.status(fingerprint).is_quarantined() {
             if changes.changed().await.is_err() {
                 std::future::pending::<()>().await;
             }
@@ -76,17 +76,22 @@
     }
 
     /// Records that a target ended while it processed a request that this node sent at `sent_at`.
-    pub(crate) fn on_crash(&self, request: Fingerprint, target: &TargetEntry, sent_at: Instant) {
-        let life = TargetIncarnation {
+    pub(crate) fn on_crash(
+        &self,
+        fingerprint: Fingerprint,
+        target: &TargetEntry,
+        sent_at: Instant,
+    ) {
+        let incarnation = TargetIncarnation {
             target: target_hash(target),
             number: 0,
         };
-        self.count_remembered_good_ends(Crash {
-            fingerprint: request,
-            target: life,
+        self.count_remembered_runs(Crash {
+            fingerprint,
+            target: incarnation,
         });
-        let crash = self.update(request, |state, now| {
-            state.observe_crash(now, request, target_hash(target), sent_at)
+        let crash = self.update(fingerprint, |state, now| {
+            state.observe_crash(now, fingerprint, target_hash(target), sent_at)
         });
         if let Some(crash) = crash {
             self.send_to_control(CrashUpdate::Crash(crash));
@@ -94,70 +99,70 @@
     }
 
     /// Whether the quarantine has a record of a request.
-    pub(crate) fn knows(&self, request: Fingerprint) -> bool {
-        self.known_requests.load(Ordering::Relaxed) > 0 && self.lock().knows(request)
+    pub(crate) fn knows(&self, fingerprint: Fingerprint) -> bool {
+        self.known_requests.load(Ordering::Relaxed) > 0 && self.lock().knows(fingerprint)
     }
 
     /// Whether a target is known to have ended before a request was sent to it.
-    pub(crate) fn has_ended_before(&self, target: &TargetEntry, sent_at: Instant) -> bool {
+    pub(crate) fn has_crashed_before(&self, target: &TargetEntry, sent_at: Instant) -> bool {
         self.lock().has_crashed_before(target_hash(target), sent_at)
     }
 
     /// Keeps a good end for a while, in case a crash is reported for the request.
-    pub(crate) fn remember_good_end(&self, end: SuccessfulRun, target: &TargetEntry) {
+    pub(crate) fn remember_successful_run(&self, run: SuccessfulRun, target: &TargetEntry) {
         self.lock_recent()
-            .note(Instant::now(), end, target_hash(target));
+            .record(Instant::now(), run, target_hash(target));
     }
 
     /// Records that a run of a request ended well and its target survived, as observed by this node.
-    pub(crate) fn on_good_end(&self, end: SuccessfulRun) {
-        if self.learn_good_end(end) {
-            self.send_to_control(CrashUpdate::GoodEnd(end));
+    pub(crate) fn on_successful_run(&self, run: SuccessfulRun) {
+        if self.learn_successful_run(run) {
+            self.send_to_control(CrashUpdate::SuccessfulRun(run));
         }
     }
 
     /// Counts the remembered good ends of a request that a crash is now known of.
-    fn count_remembered_good_ends(&self, crash: Crash) {
+    fn count_remembered_runs(&self, crash: Crash) {
         let state = self.lock();
-        let has_ended = |target| target == crash.target.target || state.knows_crash_of(target);
+        let has_crashed = |target| target == crash.target.target || state.knows_crash_of(target);
         let mut recent = self.lock_recent();
-        let remembered = recent.take(Instant::now(), crash.fingerprint, has_ended);
+        let remembered = recent.take(Instant::now(), crash.fingerprint, has_crashed);
         drop(recent);
         drop(state);
-        for end in remembered {
-            self.on_good_end(end);
+        for run in remembered {
+            self.on_successful_run(run);
         }
     }
 
     /// Applies a crash that another node observed.
     pub(crate) fn learn_crash(&self, crash: Crash) -> CrashStatus {
-        self.count_remembered_good_ends(crash);
+        self.count_remembered_runs(crash);
         self.update(crash.fingerprint, |state, now| state.on_crash(now, crash))
     }
 
     /// Applies a good end that this or another node observed. Returns whether it is new.
-    pub(crate) fn learn_good_end(&self, end: SuccessfulRun) -> bool {
-        self.update(end.fingerprint, |state, now| {
-            state.on_successful_run(now, end)
+    pub(crate) fn learn_successful_run(&self, run: SuccessfulRun) -> bool {
+        self.update(run.fingerprint, |state, now| {
+            state.on_successful_run(now, run)
         })
     }
 
     /// Ends a request's quarantine by order of an operator, which this or another node received. Returns `false` if
     /// there was no record of the request.
-    pub(crate) fn end_quarantine(&self, request: Fingerprint) -> bool {
-        let was_known = self.update(request, |state, _| state.lift(request));
+    pub(crate) fn lift_quarantine(&self, fingerprint: Fingerprint) -> bool {
+        let was_known = self.update(fingerprint, |state, _| state.lift_quarantine(fingerprint));
         if was_known {
-            tracing::warn!(part = "control", fingerprint = %request, "quarantine ended by an operator");
+            tracing::warn!(part = "control", %fingerprint, "quarantine ended by an operator");
         }
         was_known
     }
 
     /// Ends a request's quarantine by order of an operator on all nodes. Returns `false` if there was no record of the
     /// request.
-    pub(crate) fn end_quarantine_everywhere(&self, request: Fingerprint) -> bool {
-        let was_known = self.end_quarantine(request);
+    pub(crate) fn lift_quarantine_everywhere(&self, fingerprint: Fingerprint) -> bool {
+        let was_known = self.lift_quarantine(fingerprint);
         if was_known {
-            self.send_to_control(CrashUpdate::Pardon(request));
+            self.send_to_control(CrashUpdate::QuarantineLifted(fingerprint));
         }
         was_known
     }
@@ -165,40 +170,40 @@
     /// Changes the record of a request. Logs and counts if that puts it into quarantine.
     fn update<T>(
         &self,
-        request: Fingerprint,
+        fingerprint: Fingerprint,
         change: impl FnOnce(&mut Quarantine, Instant) -> T,
     ) -> T {
         let now = Instant::now();
         let mut state = self.lock();
-        let before = state.status(now, request);
+        let before = state.status(now, fingerprint);
         let changed = change(&mut state, now);
-        let after = state.status(now, request);
+        let after = state.status(now, fingerprint);
         self.known_requests.store(state.len(), Ordering::Relaxed);
         if before.is_quarantined() && !after.is_quarantined() {
-            tracing::info!(part = "control", fingerprint = %request, "request no longer in quarantine");
+            tracing::info!(part = "control", %fingerprint, "request no longer in quarantine");
         }
         if after.is_quarantined() && !before.is_quarantined() {
-            let crashes = state.crashes_of(request).len();
+            let crashes = state.crashes_of(fingerprint).len();
             drop(state);
-            self.on_quarantined(request, crashes);
+            self.on_quarantined(fingerprint, crashes);
         }
         changed
     }
 
-    fn on_quarantined(&self, request: Fingerprint, crashes: usize) {
+    fn on_quarantined(&self, fingerprint: Fingerprint, crashes: usize) {
         self.metrics.quarantines.inc();
-        tracing::warn!(part = "control", fingerprint = %request, crashes, "request quarantined");
+        tracing::warn!(part = "control", %fingerprint, crashes, "request quarantined");
         self.changes.send_modify(|n| *n += 1);
     }
 
     /// Known crashes of one request.
-    pub(crate) fn crashes_of(&self, request: Fingerprint) -> Vec<Crash> {
-        self.lock().crashes_of(request)
+    pub(crate) fn crashes_of(&self, fingerprint: Fingerprint) -> Vec<Crash> {
+        self.lock().crashes_of(fingerprint)
     }
 
     /// Known good ends of one request.
-    pub(crate) fn good_ends_of(&self, request: Fingerprint) -> Vec<SuccessfulRun> {
-        self.lock().successful_runs_of(request)
+    pub(crate) fn successful_runs_of(&self, fingerprint: Fingerprint) -> Vec<SuccessfulRun> {
+        self.lock().successful_runs_of(fingerprint)
     }
 
     /// Known crashes of all quarantined requests.
@@ -228,7 +233,7 @@
     }
 
     /// Removes expired records.
-    pub(crate) fn forget_old(&self) {
+    pub(crate) fn remove_expired(&self) {
         let mut state = self.lock();
         state.remove_expired(Instant::now());
         self.known_requests.store(state.len(), Ordering::Relaxed);
@@ -245,7 +250,7 @@
     }
 
     fn lock_recent(&self) -> MutexGuard<'_, RecentSuccessfulRuns> {
-        self.recent_good_ends
+        self.recent_successful_runs
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/azuresaddle-edge/src/quarantine/update.rs
+++ b/crates/azuresaddle-edge/src/quarantine/update.rs
@@ -10,7 +10,7 @@
     /// A target ended while it processed the request.
     Crash(Crash),
     /// A run of the request ended well, and its target survived.
-    GoodEnd(SuccessfulRun),
+    SuccessfulRun(SuccessfulRun),
     /// An operator ended the request's quarantine.
-    Pardon(Fingerprint),
+    QuarantineLifted(Fingerprint),
 }
--- a/crates/azuresaddle-edge/src/targets/connection_pool.rs
+++ b/crates/azuresaddle-edge/src/targets/connection_pool.rs
@@ -251,7 +251,9 @@
             return;
         };
         let keep = match keep_alive {
-            Some(told) => told.saturating_sub(KEEP_ALIVE_MARGIN).max(told / 2),
+            Some(announced) => announced
+                .saturating_sub(KEEP_ALIVE_MARGIN)
+                .max(announced / 2),
             None => DEFAULT_KEEP_ALIVE,
         };
         idle.expires_at = Instant::now() + keep;
--- a/crates/azuresaddle-edge/src/targets/health.rs
+++ b/crates/azuresaddle-edge/src/targets/health.rs
@@ -223,9 +223,9 @@
 
     /// Number of requests that the target is expected to have.
     fn expected_requests(&self, now: Instant) -> f64 {
-        let told = self.load.filter(|(_, at)| now - *at < MAX_LOAD_AGE);
-        let told = told.map_or(0, |(requests, _)| requests);
-        f64::from(told.max(self.in_flight))
+        let reported = self.load.filter(|(_, at)| now - *at < MAX_LOAD_AGE);
+        let reported = reported.map_or(0, |(requests, _)| requests);
+        f64::from(reported.max(self.in_flight))
     }
 }
 
--- a/crates/azuresaddle-node/src/traffic/generate.rs
+++ b/crates/azuresaddle-node/src/traffic/generate.rs
@@ -177,7 +177,7 @@
             idempotent: then.idempotent.unwrap_or(facts.idempotent),
             deadline: headers
                 .deadline
-                .map_or(max_deadline, |asked| asked.min(max_deadline)),
+                .map_or(max_deadline, |requested| requested.min(max_deadline)),
             then,
         })
     }
--- a/crates/azuresaddle-node/src/traffic/reserve.rs
+++ b/crates/azuresaddle-node/src/traffic/reserve.rs
@@ -84,14 +84,14 @@
     ) -> Result<Placement, Problem> {
         let mut unanswered_since = Instant::now();
         loop {
-            let mut ask = req.clone();
-            ask.time_left = deadline.saturating_duration_since(Instant::now());
-            let mut reply = self.ask_owner(ask.clone()).await;
+            let mut attempt = req.clone();
+            attempt.time_left = deadline.saturating_duration_since(Instant::now());
+            let mut reply = self.reserve_from_owner(attempt.clone()).await;
             let now = Instant::now();
             if matches!(reply, ReserveReply::NotOwner) {
                 let without_owner = now - unanswered_since;
                 if without_owner >= FALLBACK_AFTER {
-                    reply = self.control.fallback(ask).await;
+                    reply = self.control.fallback(attempt).await;
                 }
                 let is_new_owner_due =
                     self.snapshot.load().store_reachable && without_owner < NEW_OWNER_TIMEOUT;
@@ -119,7 +119,7 @@
 
     /// Asks the pool's owner for a reservation; an owner that can't be reached is treated as
     /// [`ReserveReply::NotOwner`].
-    async fn ask_owner(&self, req: ReserveRequest) -> ReserveReply {
+    async fn reserve_from_owner(&self, req: ReserveRequest) -> ReserveReply {
         let Some(owner) = self.snapshot.load().owners.get(&req.pool).cloned() else {
             return ReserveReply::NotOwner;
         };
--- a/crates/azuresaddle-sched/src/passes/mechanism.rs
+++ b/crates/azuresaddle-sched/src/passes/mechanism.rs
@@ -28,9 +28,9 @@
     /// Late short prompts wait for a place where they make no other stream late.
     LateShortWait,
     /// No part is placed on an engine that is prefilling another one.
-    ReadProtection,
+    PrefillProtection,
     /// Engines with overdue first events are probed for their pace.
-    PaceChecks,
+    PaceProbes,
     /// Client accounts share the engines fairly, and floods of one account are refused.
     FairShares,
     /// Copies of a request that a target has crashed under run one after the other.
@@ -50,8 +50,8 @@
         Self::EarlyRefusal,
         Self::CrowdRefusal,
         Self::LateShortWait,
-        Self::ReadProtection,
-        Self::PaceChecks,
+        Self::PrefillProtection,
+        Self::PaceProbes,
         Self::FairShares,
         Self::SuspectTurns,
         Self::HandoverWait,
@@ -68,8 +68,8 @@
             Self::EarlyRefusal => "early-refusal",
             Self::CrowdRefusal => "crowd-refusal",
             Self::LateShortWait => "late-short-wait",
-            Self::ReadProtection => "read-protection",
-            Self::PaceChecks => "pace-checks",
+            Self::PrefillProtection => "read-protection",
+            Self::PaceProbes => "pace-checks",
             Self::FairShares => "fair-shares",
             Self::SuspectTurns => "suspect-turns",
             Self::HandoverWait => "handover-wait",
@@ -106,8 +106,8 @@
             Mechanism::EarlyRefusal => &mut self.refuse_early,
             Mechanism::CrowdRefusal => &mut self.refuse_crowded,
             Mechanism::LateShortWait => &mut self.late_short_wait,
-            Mechanism::ReadProtection => &mut self.protect_prefills,
-            Mechanism::PaceChecks => &mut self.check_pace,
+            Mechanism::PrefillProtection => &mut self.protect_prefills,
+            Mechanism::PaceProbes => &mut self.probe_pace,
             Mechanism::FairShares => &mut self.fair_shares,
             Mechanism::SuspectTurns => &mut self.suspects_in_turn,
             Mechanism::HandoverWait => &mut self.handover_wait,
--- a/crates/azuresaddle-sched/src/passes/options.rs
+++ b/crates/azuresaddle-sched/src/passes/options.rs
@@ -25,7 +25,7 @@
     /// Place no parts on engines that are already prefilling.
     pub protect_prefills: bool,
     /// Probe engines for their pace when first events are overdue.
-    pub check_pace: bool,
+    pub probe_pace: bool,
     /// Order waiting requests by the fair shares of their client accounts, and refuse floods.
     pub fair_shares: bool,
     /// Let late short prompts wait for a place where they make no other stream late.
@@ -50,7 +50,7 @@
             refuse_early: true,
             refuse_crowded: true,
             protect_prefills: true,
-            check_pace: true,
+            probe_pace: true,
             fair_shares: true,
             late_short_wait: true,
             suspects_in_turn: true,
--- a/crates/azuresaddle-sched/src/passes/pool/mod.rs
+++ b/crates/azuresaddle-sched/src/passes/pool/mod.rs
@@ -121,7 +121,7 @@
     ///
     /// A restarted engine holds none of its streams and memory, and the recorded speed and failures
     /// belong to the earlier process.
-    pub fn note_start(&mut self, now: Instant, name: &HostName, started: TargetStart) -> bool {
+    pub fn record_start(&mut self, now: Instant, name: &HostName, started: TargetStart) -> bool {
         let Some(key) = self.keys_by_name.get(name).copied() else {
             return false;
         };
@@ -213,7 +213,7 @@
         self.queue.remove(id);
         match outcome {
             StreamOutcome::TargetRefused(name) | StreamOutcome::TargetFailed(name) => {
-                self.note_failure(now, name);
+                self.record_failure(now, name);
             }
             StreamOutcome::TargetBacksOff { target, time } => {
                 if let Some(key) = self.keys_by_name.get(target) {
--- a/crates/azuresaddle-sched/src/passes/pool/pace_probes.rs
+++ b/crates/azuresaddle-sched/src/passes/pool/pace_probes.rs
@@ -53,7 +53,7 @@
 impl PassPool {
     /// Returns the engines to probe for their pace now; the results go to [`Self::on_pace`].
     pub fn take_pace_probes(&mut self, now: Instant) -> Vec<HostName> {
-        if !self.options.check_pace || now < self.next_overdue_check {
+        if !self.options.probe_pace || now < self.next_overdue_check {
             return Vec::new();
         }
         self.next_overdue_check = now + OVERDUE_CHECK_INTERVAL;
--- a/crates/azuresaddle-sched/src/passes/pool/streams.rs
+++ b/crates/azuresaddle-sched/src/passes/pool/streams.rs
@@ -23,7 +23,7 @@
 }
 
 impl PassPool {
-    pub(super) fn note_failure(&mut self, now: Instant, name: &HostName) {
+    pub(super) fn record_failure(&mut self, now: Instant, name: &HostName) {
         if let Some(key) = self.keys_by_name.get(name) {
             self.engines[*key].breaker.on_failure(now);
         }
--- a/crates/azuresaddle-sched/src/quarantine/recent.rs
+++ b/crates/azuresaddle-sched/src/quarantine/recent.rs
@@ -38,7 +38,7 @@
 
 impl RecentSuccessfulRuns {
     /// Records a completed run.
-    pub fn note(&mut self, now: Instant, run: SuccessfulRun, target: u64) {
+    pub fn record(&mut self, now: Instant, run: SuccessfulRun, target: u64) {
         if self.0.len() >= MAX_REQUESTS && !self.0.contains_key(&run.fingerprint) {
             self.evict(now);
         }
@@ -59,17 +59,17 @@
     pub fn take(
         &mut self,
         now: Instant,
-        request: Fingerprint,
+        fingerprint: Fingerprint,
         has_crashed: impl Fn(u64) -> bool,
     ) -> Vec<SuccessfulRun> {
-        let runs = self.0.remove(&request).unwrap_or_default();
+        let runs = self.0.remove(&fingerprint).unwrap_or_default();
         let is_evidence = |run: &Run| {
             let age = now.saturating_duration_since(run.at);
             (SURVIVAL_TIME..RETENTION).contains(&age) && !has_crashed(run.target)
         };
         let runs = runs.into_iter().filter(is_evidence);
         runs.map(|run| SuccessfulRun {
-            fingerprint: request,
+            fingerprint,
             run: run.run,
         })
         .collect()
--- a/crates/azuresaddle-sched/src/quarantine/state.rs
+++ b/crates/azuresaddle-sched/src/quarantine/state.rs
@@ -51,13 +51,13 @@
     pub fn observe_crash(
         &mut self,
         now: Instant,
-        request: Fingerprint,
+        fingerprint: Fingerprint,
         target: u64,
         sent_at: Instant,
     ) -> Option<Crash> {
         let crash = Crash {
-            fingerprint: request,
-            target: self.incarnation_of(request, target, sent_at),
+            fingerprint,
+            target: self.incarnation_of(fingerprint, target, sent_at),
         };
         (self.on_crash(now, crash) == CrashStatus::New).then_some(crash)
     }
@@ -68,11 +68,11 @@
     /// were on the target at the same time share an incarnation, and others don't.
     fn incarnation_of(
         &self,
-        request: Fingerprint,
+        fingerprint: Fingerprint,
         target: u64,
         sent_at: Instant,
     ) -> TargetIncarnation {
-        let own = self.records.get(&request);
+        let own = self.records.get(&fingerprint);
         let own = own.and_then(|r| r.last_crashed_incarnation_of(target));
         let crashes = self
             .crashed_targets
@@ -118,8 +118,8 @@
 
     /// Lifts the quarantine of a request for an operator: its known crashes don't count again. False if there were
     /// none.
-    pub fn lift(&mut self, request: Fingerprint) -> bool {
-        let Some(record) = self.records.get_mut(&request) else {
+    pub fn lift_quarantine(&mut self, fingerprint: Fingerprint) -> bool {
+        let Some(record) = self.records.get_mut(&fingerprint) else {
             return false;
         };
         let had_crashes = record.crashed_incarnations().next().is_some();
@@ -141,21 +141,21 @@
     }
 
     /// Whether there is a record of a request.
-    pub fn knows(&self, request: Fingerprint) -> bool {
-        self.records.contains_key(&request)
+    pub fn knows(&self, fingerprint: Fingerprint) -> bool {
+        self.records.contains_key(&fingerprint)
     }
 
-    fn record(&mut self, now: Instant, request: Fingerprint) -> &mut Record {
-        if !self.records.contains_key(&request) && self.records.len() >= MAX_RECORDS {
+    fn record(&mut self, now: Instant, fingerprint: Fingerprint) -> &mut Record {
+        if !self.records.contains_key(&fingerprint) && self.records.len() >= MAX_RECORDS {
             self.evict(now);
         }
-        let record = self.records.entry(request);
+        let record = self.records.entry(fingerprint);
         record.or_insert_with(|| Record::new(now))
     }
 
     /// Status of a request.
-    pub fn status(&self, now: Instant, request: Fingerprint) -> RequestStatus {
-        let Some(record) = self.records.get(&request) else {
+    pub fn status(&self, now: Instant, fingerprint: Fingerprint) -> RequestStatus {
+        let Some(record) = self.records.get(&fingerprint) else {
             return RequestStatus::Clear;
         };
         let until = |beyond| record.quarantined_until(beyond);
@@ -163,16 +163,16 @@
         if let Some(until) = certain.filter(|until| *until > now) {
             return RequestStatus::Quarantined { left: until - now };
         }
-        let evidence = self.unexplained_evidence(request, record);
+        let evidence = self.unexplained_evidence(fingerprint, record);
         let left = self
-            .crashes_past_quarantine(now, request, evidence)
+            .crashes_past_quarantine(now, fingerprint, evidence)
             .map(|beyond| {
                 record
                     .quarantined_until(beyond)
                     .saturating_duration_since(now)
             });
         match left {
-            Some(left) if !left.is_zero() && !self.has_equal_suspect(request, record) => {
+            Some(left) if !left.is_zero() && !self.has_equal_suspect(fingerprint, record) => {
                 RequestStatus::Quarantined { left }
             }
             _ if evidence.is_suspicious() => RequestStatus::Suspect,
@@ -181,7 +181,7 @@
     }
 
     /// Evidence on a request, without the crashes that another request on the same target explains better.
-    fn unexplained_evidence(&self, request: Fingerprint, record: &Record) -> Evidence {
+    fn unexplained_evidence(&self, fingerprint: Fingerprint, record: &Record) -> Evidence {
         let own = record.evidence().weight();
         let is_unexplained = |incarnation: &TargetIncarnation| {
             let requests = self
@@ -189,14 +189,14 @@
                 .get(incarnation)
                 .into_iter()
                 .flat_map(|e| &e.requests);
-            let mut others = requests.filter(|r| **r != request);
+            let mut others = requests.filter(|r| **r != fingerprint);
             !others.any(|other| self.weight(*other) > own)
         };
         record.evidence_with(record.crashed_incarnations().filter(is_unexplained).count())
     }
 
-    fn weight(&self, request: Fingerprint) -> f64 {
-        let record = self.records.get(&request);
+    fn weight(&self, fingerprint: Fingerprint) -> f64 {
+        let record = self.records.get(&fingerprint);
         record.map_or(0.0, |r| r.evidence().weight())
     }
 
@@ -204,20 +204,20 @@
     fn crashes_past_quarantine(
         &self,
         now: Instant,
-        request: Fingerprint,
+        fingerprint: Fingerprint,
         evidence: Evidence,
     ) -> Option<u32> {
         // Most requests are far from quarantine; this avoids scanning the other crashes for them.
         evidence.crashes_past_quarantine(0)?;
-        evidence.crashes_past_quarantine(self.unexplained_crashes(now, request))
+        evidence.crashes_past_quarantine(self.unexplained_crashes(now, fingerprint))
     }
 
     /// Number of targets that crashed recently without the request and without any request whose net evidence exceeds
     /// one crash.
-    fn unexplained_crashes(&self, now: Instant, request: Fingerprint) -> usize {
+    fn unexplained_crashes(&self, now: Instant, fingerprint: Fingerprint) -> usize {
         let is_unexplained = |crashed: &&CrashedTarget| {
             now.saturating_duration_since(crashed.at) < RECENT_CRASH_AGE
-                && !crashed.requests.contains(&request)
+                && !crashed.requests.contains(&fingerprint)
                 && !crashed.requests.iter().any(|r| self.weight(*r) > 1.0)
         };
         self.crashed_targets.values().filter(is_unexplained).count()
@@ -229,12 +229,12 @@
     /// The streams of a crashed engine resume on the next one together, and their callers retry together. The next
     /// crash distinguishes them, because suspects don't share an engine by then: the cause has one more crash, which
     /// explains those of the others.
-    fn has_equal_suspect(&self, request: Fingerprint, record: &Record) -> bool {
+    fn has_equal_suspect(&self, fingerprint: Fingerprint, record: &Record) -> bool {
         let last = record.crashed_incarnations().last();
         let requests = last.and_then(|incarnation| self.crashed_targets.get(&incarnation));
         let requests = requests.into_iter().flat_map(|e| &e.requests);
         let own = record.evidence().weight();
-        requests.filter(|r| **r != request).any(|other| {
+        requests.filter(|r| **r != fingerprint).any(|other| {
             let other = self.records.get(other);
             other.is_some_and(|other| {
                 other.includes_crashes_of(record) && other.evidence().weight() >= own
@@ -243,46 +243,42 @@
     }
 
     /// Whether one more crash would put a request into quarantine.
-    pub fn is_one_crash_from_quarantine(&self, now: Instant, request: Fingerprint) -> bool {
-        let Some(record) = self.records.get(&request) else {
+    pub fn is_one_crash_from_quarantine(&self, now: Instant, fingerprint: Fingerprint) -> bool {
+        let Some(record) = self.records.get(&fingerprint) else {
             return false;
         };
-        let mut evidence = self.unexplained_evidence(request, record);
+        let mut evidence = self.unexplained_evidence(fingerprint, record);
         evidence.crashes += 1;
-        self.crashes_past_quarantine(now, request, evidence)
+        self.crashes_past_quarantine(now, fingerprint, evidence)
             .is_some()
     }
 
     /// Crashes of one request.
-    pub fn crashes_of(&self, request: Fingerprint) -> Vec<Crash> {
-        let record = self.records.get(&request);
-        record.map_or(Vec::new(), |r| crashes(request, r).collect())
+    pub fn crashes_of(&self, fingerprint: Fingerprint) -> Vec<Crash> {
+        let record = self.records.get(&fingerprint);
+        record.map_or(Vec::new(), |r| crashes(fingerprint, r).collect())
     }
 
     /// Successful runs of one request.
-    pub fn successful_runs_of(&self, request: Fingerprint) -> Vec<SuccessfulRun> {
-        let record = self.records.get(&request);
+    pub fn successful_runs_of(&self, fingerprint: Fingerprint) -> Vec<SuccessfulRun> {
+        let record = self.records.get(&fingerprint);
         let runs = record.into_iter().flat_map(Record::successful_runs);
-        runs.map(|run| SuccessfulRun {
-            fingerprint: request,
-            run,
-        })
-        .collect()
+        runs.map(|run| SuccessfulRun { fingerprint, run }).collect()
     }
 
     /// Crashes of all requests in quarantine, to be sent to a node that may not know them.
     pub fn quarantined(&self, now: Instant) -> impl Iterator<Item = Crash> {
         let all = self.records.iter();
-        all.filter(move |(request, _)| self.status(now, **request).is_quarantined())
-            .flat_map(|(request, r)| crashes(*request, r))
+        all.filter(move |(fingerprint, _)| self.status(now, **fingerprint).is_quarantined())
+            .flat_map(|(fingerprint, r)| crashes(*fingerprint, r))
     }
 
     /// Removes expired records.
     pub fn remove_expired(&mut self, now: Instant) {
         let expiries: HashMap<Fingerprint, Instant> = self.expiries(now).collect();
-        self.records.retain(|request, _| {
+        self.records.retain(|fingerprint, _| {
             expiries
-                .get(request)
+                .get(fingerprint)
                 .is_some_and(|expires_at| now < *expires_at)
         });
         self.remove_forgotten_requests();
@@ -290,10 +286,10 @@
 
     /// Expiry time of each record.
     fn expiries(&self, now: Instant) -> impl Iterator<Item = (Fingerprint, Instant)> {
-        self.records.iter().map(move |(request, record)| {
-            let evidence = self.unexplained_evidence(*request, record);
-            let beyond = self.crashes_past_quarantine(now, *request, evidence);
-            (*request, record.expires_at(beyond))
+        self.records.iter().map(move |(fingerprint, record)| {
+            let evidence = self.unexplained_evidence(*fingerprint, record);
+            let beyond = self.crashes_past_quarantine(now, *fingerprint, evidence);
+            (*fingerprint, record.expires_at(beyond))
         })
     }
 
@@ -302,7 +298,7 @@
         self.crashed_targets.retain(|_, crashed| {
             crashed
                 .requests
-                .retain(|request| self.records.contains_key(request));
+                .retain(|fingerprint| self.records.contains_key(fingerprint));
             !crashed.requests.is_empty()
         });
     }
@@ -325,11 +321,11 @@
         }
         let mut expiries: Vec<(Instant, Fingerprint)> = self
             .expiries(now)
-            .map(|(request, expires_at)| (expires_at, request))
+            .map(|(fingerprint, expires_at)| (expires_at, fingerprint))
             .collect();
         expiries.sort_unstable();
-        for (_, request) in expiries.iter().take(EVICTION_BATCH) {
-            self.records.remove(request);
+        for (_, fingerprint) in expiries.iter().take(EVICTION_BATCH) {
+            self.records.remove(fingerprint);
         }
         self.remove_forgotten_requests();
     }
--- a/crates/azuresaddle-sched/tests/suite/breaker.rs
+++ b/crates/azuresaddle-sched/tests/suite/breaker.rs
@@ -45,17 +45,17 @@
 fn a_requested_back_off_limits_the_open_time() {
     let now = Instant::now();
     let mut breaker = Breaker::default();
-    let asked = Duration::from_millis(300);
-    breaker.on_back_off(now, asked);
+    let back_off = Duration::from_millis(300);
+    breaker.on_back_off(now, back_off);
     assert!(
         breaker.allows(now, 0),
         "only this sender may have been rejected"
     );
     let mut at = now;
     for _ in 0..6 {
-        breaker.on_back_off(at, asked);
+        breaker.on_back_off(at, back_off);
         assert!(!breaker.allows(at, 0));
-        at += asked;
+        at += back_off;
         assert!(breaker.allows(at, 0), "{:?}", at - now);
     }
     breaker.on_back_off(at, Duration::from_secs(3600));
--- a/crates/azuresaddle-sched/tests/suite/evidence.rs
+++ b/crates/azuresaddle-sched/tests/suite/evidence.rs
@@ -27,16 +27,16 @@
     let now = Instant::now();
     let mut recent = RecentSuccessfulRuns::default();
     for run in 0..9 {
-        recent.note(now, successful_run(1, run), run % 3);
+        recent.record(now, successful_run(1, run), run % 3);
     }
     let later = now + Duration::from_secs(1);
     let recalled = recent.take(later, request(1), |t| t == 0);
     assert_eq!(recalled.len(), 3, "of the last four, one was on the target");
     assert!(recent.take(later, request(1), |t| t == 0).is_empty());
     // A run that has just completed may still crash its target, and a run long ago is weak evidence.
-    recent.note(now, successful_run(2, 1), 5);
+    recent.record(now, successful_run(2, 1), 5);
     assert!(recent.take(now, request(2), |_| false).is_empty());
-    recent.note(now, successful_run(2, 1), 5);
+    recent.record(now, successful_run(2, 1), 5);
     assert!(recent.take(now + MINUTE, request(2), |_| false).is_empty());
 }
 
@@ -154,8 +154,8 @@
 async fn a_quarantine_lifted_by_an_operator_returns_after_more_crashes() {
     let now = Instant::now();
     let mut quarantine = with_crashes(now, 3);
-    assert!(quarantine.lift(request(1)));
-    assert!(!quarantine.lift(request(1)));
+    assert!(quarantine.lift_quarantine(request(1)));
+    assert!(!quarantine.lift_quarantine(request(1)));
     assert_eq!(quarantine.status(now, request(1)), RequestStatus::Clear);
     // Reported again by a node that does not know that the quarantine was lifted.
     assert_eq!(quarantine.on_crash(now, crash(1, 2)), CrashStatus::Known);
--- a/crates/azuresaddle-sched/tests/suite/passes/rate_limits.rs
+++ b/crates/azuresaddle-sched/tests/suite/passes/rate_limits.rs
@@ -128,9 +128,9 @@
     let now = Instant::now();
     let mut pool = pool(now, 1);
     let limited = limit(1.0);
-    pool.note_start(now, &name(0), azuresaddle_core::deployment::TargetStart(1));
+    pool.record_start(now, &name(0), azuresaddle_core::deployment::TargetStart(1));
     pool.set_rate_limits(now, |_| Some(&limited));
-    pool.note_start(now, &name(0), azuresaddle_core::deployment::TargetStart(2));
+    pool.record_start(now, &name(0), azuresaddle_core::deployment::TargetStart(2));
     assert!(start(&mut pool, now, 1, 3000).is_some());
 }
 
--- a/crates/azuresaddle-standin/src/passes/policy.rs
+++ b/crates/azuresaddle-standin/src/passes/policy.rs
@@ -111,8 +111,8 @@
             Self::NoBreakPauses => all.without(Mechanism::BreakPauses),
             Self::NoEarlyRefusal => all.without(Mechanism::EarlyRefusal),
             Self::NoCrowdRefusal => all.without(Mechanism::CrowdRefusal),
-            Self::NoReadProtection => all.without(Mechanism::ReadProtection),
-            Self::NoPaceChecks => all.without(Mechanism::PaceChecks),
+            Self::NoReadProtection => all.without(Mechanism::PrefillProtection),
+            Self::NoPaceChecks => all.without(Mechanism::PaceProbes),
             Self::NoFairShares => all.without(Mechanism::FairShares),
             Self::Random | Self::LeastRequests | Self::LeastBacklog => return None,
         })
