--- a/crates/azuresaddle-edge/src/control/crashes.rs
+++ b/crates/azuresaddle-edge/src/control/crashes.rs
@@ -86,7 +86,7 @@
     }
 
     /// Applies a crash from another node, and replies with what that node may not know: that the
-    /// request is in quarantine here, or which of its runs ended well.
+    /// request is in quarantine here, or its successful runs.
     async fn on_gossiped_crash(&mut self, from: Ipv4Addr, crash: Crash) -> bool {
         let fingerprint = crash.fingerprint;
         let was_quarantined = self.quarantine.status(fingerprint).is_quarantined();
@@ -110,8 +110,8 @@
         true
     }
 
-    /// Gossips all crashes of a quarantined request, so that a node that knows a run of it that
-    /// ended well can object; true if the request is in quarantine.
+    /// Gossips all crashes of a quarantined request, so that a node that knows a successful
+    /// run of it can reply with that; true if the request is in quarantine.
     fn gossip_if_quarantined(&mut self, fingerprint: Fingerprint) -> bool {
         let is_quarantined = self.quarantine.status(fingerprint).is_quarantined();
         if is_quarantined {
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Applies a crash entry of the store. A removed entry does not end a quarantine: entries
+    /// Applies a crash entry of the store. A removed entry does not lift a quarantine: entries
     /// expire with their lease, also in an outage, and the quarantine expires on its own.
     pub(super) fn on_crash_item(&mut self, now: Instant, item: &StoreItem) {
         let Some(key) = CrashKey::decode(&item.key) else {
--- a/crates/azuresaddle-edge/src/control/failover.rs
+++ b/crates/azuresaddle-edge/src/control/failover.rs
@@ -28,7 +28,7 @@
 /// Time after its last unanswered call for which a node suspects the owner.
 const SUSPICION_TTL: Duration = Duration::from_millis(1000);
 
-/// Time that a successor gets to take over before the next one is asked: many round trips.
+/// Time that a successor gets to take over before the next one is notified: many round trips.
 const SUCCESSOR_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Time for which a successor that did not take over is skipped.
--- a/crates/azuresaddle-edge/src/forward/crash_check.rs
+++ b/crates/azuresaddle-edge/src/forward/crash_check.rs
@@ -19,7 +19,7 @@
 /// since the caller waits meanwhile.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Checks whether a target has ended after it gave no answer to a request that it may have run, and records a crash for
+/// Checks whether a target has crashed after it gave no answer to a request that it may have run, and records a crash for
 /// the request if so. Otherwise keeps the send, since the crash may show later.
 pub(super) async fn check_for_crash<N: Network>(
     cx: &Forwarder<N>,
@@ -50,8 +50,8 @@
     }
 }
 
-/// Records a good end of a run, after the time in which the target would crash: the answer may be complete although the
-/// request makes the target crash right after it.
+/// Records a successful run, once the target has survived it for [`SURVIVAL_TIME`]: the answer may be complete although
+/// the request makes the target crash right after it.
 pub(super) fn record_successful_run<N: Network>(
     cx: &Arc<Forwarder<N>>,
     req: &ForwardRequest,
@@ -76,7 +76,7 @@
                 part = "forward",
                 fingerprint = %run.fingerprint,
                 target = %target.id,
-                "target ended after a complete answer"
+                "target crashed after a complete answer"
             );
             cx.quarantine.on_crash(run.fingerprint, &target, sent_at);
         } else {
--- a/crates/azuresaddle-edge/src/forward/forwarder.rs
+++ b/crates/azuresaddle-edge/src/forward/forwarder.rs
@@ -84,7 +84,7 @@
         forwarder
     }
 
-    /// Starts the task that queries the pace of each engine received from `engines` and reports it to `owner`.
+    /// Starts the task that probes the pace of each engine received from `engines` and reports it to `owner`.
     pub(crate) fn probe_paces(
         self: &Arc<Self>,
         owner: Arc<Owner>,
--- a/crates/azuresaddle-edge/src/forward/pace_probes.rs
+++ b/crates/azuresaddle-edge/src/forward/pace_probes.rs
@@ -1,4 +1,4 @@
-//! Queries the pace of engines that the owner of their pool suspects of being slow.
+//! Probes the pace of engines that the owner of their pool suspects of being slow.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 use super::target_call::{TargetCall, call_target};
 use crate::placement::Owner;
 
-/// Queries each engine received from `engines` concurrently, and reports its pace to the owner.
+/// Probes each engine received from `engines` concurrently, and reports its pace to the owner.
 pub(super) async fn run_pace_probes<N: Network>(
     cx: Arc<Forwarder<N>>,
     owner: Arc<Owner>,
@@ -28,7 +28,7 @@
                     part = "placement",
                     target = %engine,
                     failure = %e,
-                    "can't query the engine's pace"
+                    "can't probe the engine's pace"
                 ),
             }
         });
--- a/crates/azuresaddle-edge/src/forward/stream/finish.rs
+++ b/crates/azuresaddle-edge/src/forward/stream/finish.rs
@@ -108,7 +108,7 @@
         self.record_sample(StreamEnd::Refused);
         let left = match self.cx.quarantine.status(self.req.fingerprint) {
             RequestStatus::Quarantined { left } => left,
-            // The quarantine ended just now, for example by a good end on another node.
+            // The quarantine was lifted just now, for example by a successful run on another node.
             RequestStatus::Clear | RequestStatus::Suspect => DEFAULT_RETRY_AFTER,
         };
         if let Some(tx) = self.start_tx.take() {
--- a/crates/azuresaddle-edge/src/forward/tests/broken_sends.rs
+++ b/crates/azuresaddle-edge/src/forward/tests/broken_sends.rs
@@ -62,7 +62,7 @@
     }
 }
 
-/// A draining target accepts no new work and is removed from the set, but has not ended.
+/// A draining target accepts no new work and is removed from the set, but has not crashed.
 #[tokio::test(start_paused = true)]
 async fn a_missing_target_does_not_count_as_ended() {
     let (broken_sends, _) = broken();
--- a/crates/azuresaddle-edge/src/metrics.rs
+++ b/crates/azuresaddle-edge/src/metrics.rs
@@ -198,7 +198,7 @@
         self.fetches.get_or_create(&FetchLabels { scope }).inc();
     }
 
-    /// Counts a request whose target ended while it processed the request.
+    /// Counts a request whose target crashed while it ran the request.
     pub(crate) fn on_target_crash(&self, service: &str) {
         let labels = ServiceLabels {
             service: service.to_owned(),
--- a/crates/azuresaddle-edge/src/node.rs
+++ b/crates/azuresaddle-edge/src/node.rs
@@ -45,7 +45,7 @@
 /// Most signals of targets that wait for control: those of a few hundred answers.
 const SIGNAL_QUEUE_CAPACITY: usize = 256;
 
-/// Most engines that wait for a query of their pace. A pool that suspects more of them asks again later.
+/// Most engines that wait for a probe of their pace. A pool that suspects more of them requests them again later.
 const PACE_PROBE_QUEUE_CAPACITY: usize = 64;
 
 /// Interval at which a stopping node checks whether all answers are finished.
--- a/crates/azuresaddle-edge/src/peer/messages.rs
+++ b/crates/azuresaddle-edge/src/peer/messages.rs
@@ -27,11 +27,11 @@
     pub(crate) pause: Duration,
     /// Time left until the caller gives up if it has received no event.
     pub(crate) give_up_in: Duration,
-    /// Time left until the request must have ended.
+    /// Time left until the answer must be complete.
     pub(crate) time_left: Duration,
     /// Targets that must not be used, since an earlier attempt failed there.
     pub(crate) exclude: Vec<HostName>,
-    /// Set if a target ended while it processed the request, which may be the cause.
+    /// Set if a target has crashed while it ran the request, which may be the cause.
     pub(crate) suspect: Option<Suspect>,
     /// Whether another node redirected the request to this one. The receiver then decides in any case, so that two
     /// nodes that each take the other for the owner don't redirect it forever.
--- a/crates/azuresaddle-edge/src/peer/server.rs
+++ b/crates/azuresaddle-edge/src/peer/server.rs
@@ -65,8 +65,8 @@
 
 impl EdgePeer for PeerServer {
     async fn place(self, _: Context, message: PlaceMessage) -> PlaceReply {
-        // An owner that was replaced while it stalled would otherwise place streams for as long as nodes ask it, without
-        // knowledge of those that the new owner placed.
+        // An owner that was replaced while it stalled would otherwise place streams for as long as nodes send it
+        // requests, without knowledge of those that the new owner placed.
         match self.other_owner() {
             Some(peer) if !message.is_redirected => PlaceReply::Redirect { peer },
             _ => self.owner.place(message).await,
--- a/crates/azuresaddle-edge/src/placement/client.rs
+++ b/crates/azuresaddle-edge/src/placement/client.rs
@@ -40,11 +40,11 @@
     pub(crate) pause: Duration,
     /// When the caller gives up if it has received no event.
     pub(crate) give_up_at: Instant,
-    /// When the request must have ended.
+    /// Time by which the answer must be complete.
     pub(crate) deadline: Instant,
     /// Targets that must not be used, since an earlier attempt failed there.
     pub(crate) exclude: Vec<HostName>,
-    /// Set if a target ended while it processed the request, which may be the cause.
+    /// Set if a target has crashed while it ran the request, which may be the cause.
     pub(crate) suspect: Option<Suspect>,
 }
 
@@ -71,7 +71,7 @@
     pub(crate) owner: Arc<Owner>,
     pub(crate) peers: PeerClients<N>,
     pub(crate) snapshots: Snapshots,
-    /// Tells control the incarnation of an owner that does not answer.
+    /// Sends the incarnation of an owner that does not answer to control.
     pub(crate) unresponsive_owners: mpsc::Sender<u64>,
 }
 
@@ -87,7 +87,7 @@
     reports: mpsc::Sender<StreamReport>,
     /// Incremented when the connection to the owner is found dead, so that requests on it are repeated.
     reconnects: watch::Sender<u64>,
-    /// Tells control the incarnation of an owner that does not answer.
+    /// Sends the incarnation of an owner that does not answer to control.
     unresponsive_owners: mpsc::Sender<u64>,
 }
 
@@ -350,7 +350,7 @@
         self.report_unresponsive(owner);
     }
 
-    /// Tells control of an owner that does not answer; control may then choose another one.
+    /// Reports an owner that does not answer to control, which may then choose another one.
     fn report_unresponsive(&self, owner: u64) {
         // A full channel already contains such reports.
         let _ = self.unresponsive_owners.try_send(owner);
--- a/crates/azuresaddle-edge/src/placement/guard.rs
+++ b/crates/azuresaddle-edge/src/placement/guard.rs
@@ -9,14 +9,14 @@
 use super::client::{PlacementClient, StreamState};
 use crate::peer::ReportKind;
 
-/// Engines that are assigned to a stream; released when this is ended or dropped.
+/// Engines that are assigned to a stream; released by [`Self::end`] or on drop.
 pub(crate) struct PlacementGuard<N: Network> {
     pub(super) placement: Arc<PlacementClient<N>>,
     pub(super) id: PlacementId,
     pub(super) service: Arc<str>,
-    /// Engine that receives the request and writes the answer.
+    /// Engine that receives the request and decodes the answer.
     pub(crate) lead: HostName,
-    /// Engines that read parts of the prompt.
+    /// Engines that each prefill a part of the prompt.
     pub(crate) helpers: Vec<HostName>,
     /// Memory to reserve on each helper, in tokens; 0 for none.
     pub(crate) helper_memory_tokens: u64,
--- a/crates/azuresaddle-edge/src/placement/owner.rs
+++ b/crates/azuresaddle-edge/src/placement/owner.rs
@@ -24,14 +24,14 @@
     state: Mutex<OwnerState>,
     /// Wakes the timer task when its next wake-up may have changed.
     changed: Notify,
-    /// Engines whose pace, the time of their work relative to a usual engine, should be queried.
+    /// Engines to probe for their pace, the slowdown relative to a reference engine.
     pace_probes: mpsc::Sender<HostName>,
 }
 
 impl Owner {
     /// Creates the pools and starts the tasks that apply snapshots and run the pools' timers.
     ///
-    /// Engines whose pace should be queried are sent to `pace_probes`; pass the answers to [`Self::on_pace`].
+    /// Engines to probe for their pace are sent to `pace_probes`; pass their reports to [`Self::on_pace`].
     pub(crate) fn spawn(
         spawner: &Spawner,
         snapshots: &Snapshots,
@@ -182,7 +182,7 @@
 
     fn queue_pace_probes(&self, state: &mut OwnerState, now: Instant) {
         for engine in state.take_pace_probes(now) {
-            // If the queue is full, the pool asks for this engine again at the next overdue event.
+            // If the queue is full, the pool requests a probe of this engine again at the next overdue event.
             let _ = self.pace_probes.try_send(engine);
         }
     }
--- a/crates/azuresaddle-edge/src/placement/owner_state.rs
+++ b/crates/azuresaddle-edge/src/placement/owner_state.rs
@@ -19,8 +19,8 @@
 /// the time that a short prompt can wait.
 const MAX_HANDOVER_WAIT: Duration = Duration::from_millis(120);
 
-/// Shortest time between two dispatches of placement while requests wait: a tenth of a pass, so no request
-/// waits longer by more than that.
+/// Shortest time between two dispatches while requests wait: a tenth of a pass, which is the longest delay that it adds
+/// for a request.
 const MIN_DISPATCH_INTERVAL: Duration = Duration::from_millis(4);
 
 /// State of [`Owner`](super::Owner), guarded by its lock.
@@ -43,9 +43,9 @@
     pub(super) rate_limits: Arc<HashMap<HostName, RateLimit>>,
     /// Token buckets of plain targets that have a rate limit.
     pub(super) plain_target_buckets: HashMap<HostName, RateBucket>,
-    /// When the next round may begin; `None` if the last one left no request waiting.
+    /// When the next dispatch may begin; `None` if the last one left no request waiting.
     pub(super) next_dispatch: Option<Instant>,
-    /// Whether a round was postponed until `next_dispatch`.
+    /// Whether a dispatch was postponed until `next_dispatch`.
     pub(super) is_dispatch_due: bool,
     /// Number of dispatches so far, which tests check.
     pub(super) dispatches: u64,
@@ -151,7 +151,7 @@
         self.targets = Arc::clone(targets);
     }
 
-    /// Sets whether this node places for all nodes. Drops the rate counts of an earlier ownership.
+    /// Sets whether this node owns the pools. Drops the token buckets of an earlier ownership.
     fn set_owner(&mut self, now: Instant, is_owner: bool) {
         self.plain_target_buckets.clear();
         for pool in self.pools.values_mut() {
@@ -230,7 +230,7 @@
         is_ongoing
     }
 
-    /// Engines whose pace should be queried; none if another node is the owner.
+    /// Returns the engines to probe for their pace now; none if another node is the owner.
     pub(super) fn take_pace_probes(&mut self, now: Instant) -> Vec<HostName> {
         if !self.is_owner {
             return Vec::new();
@@ -241,7 +241,7 @@
 
     /// Places waiting requests where there is room, and sends the decisions.
     ///
-    /// While requests wait, events are collected into dispatches. A round for each event would spend the owner's CPU time on
+    /// While requests wait, events are collected into one dispatch. A dispatch for each event would spend the owner's CPU time on
     /// requests that find no room, and delay those that would.
     pub(super) fn dispatch(&mut self, now: Instant) {
         if self.is_taking_over(now) {
--- a/crates/azuresaddle-edge/src/placement/permits.rs
+++ b/crates/azuresaddle-edge/src/placement/permits.rs
@@ -14,7 +14,7 @@
 const NO_OWNER_WAIT: Duration = Duration::from_millis(200);
 
 impl<N: Network> PlacementClient<N> {
-    /// Asks the owner, which counts the requests of all nodes, whether a request may be sent.
+    /// Requests a permit to send a request from the owner, which counts the requests of all nodes.
     ///
     /// # Errors
     /// The time for which no request may be sent to the target.
--- a/crates/azuresaddle-edge/src/quarantine/shared.rs
+++ b/crates/azuresaddle-edge/src/quarantine/shared.rs
@@ -20,7 +20,7 @@
 /// This node's quarantine. Traffic checks requests against it; control shares it with the other nodes.
 pub(crate) struct SharedQuarantine {
     quarantine: Mutex<Quarantine>,
-    /// Good ends of requests that `quarantine` has no record of.
+    /// Successful runs of requests that `quarantine` has no record of.
     recent_successful_runs: Mutex<RecentSuccessfulRuns>,
     /// Number of requests in `quarantine`; if it is 0, checks do not take the lock.
     known_requests: AtomicUsize,
@@ -44,7 +44,7 @@
         })
     }
 
-    /// Present status of a request.
+    /// Status of a request.
     pub(crate) fn status(&self, fingerprint: Fingerprint) -> RequestStatus {
         if self.known_requests.load(Ordering::Relaxed) == 0 {
             return RequestStatus::Clear;
@@ -52,7 +52,7 @@
         self.lock().status(Instant::now(), fingerprint)
     }
 
-    /// The request as a suspect, if a target ended while it processed it; `None` if the request is clear.
+    /// Returns the request as a suspect if a target has crashed while it ran it; `None` if the request is clear.
     pub(crate) fn suspect(&self, fingerprint: Fingerprint) -> Option<Suspect> {
         if self.known_requests.load(Ordering::Relaxed) == 0 {
             return None;
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Records that a target ended while it processed a request that this node sent at `sent_at`.
+    /// Records that a target crashed while it ran a request that this node sent at `sent_at`.
     pub(crate) fn on_crash(
         &self,
         fingerprint: Fingerprint,
@@ -103,25 +103,25 @@
         self.known_requests.load(Ordering::Relaxed) > 0 && self.lock().knows(fingerprint)
     }
 
-    /// Whether a target is known to have ended before a request was sent to it.
+    /// Whether a target is known to have crashed before a request was sent to it.
     pub(crate) fn has_crashed_before(&self, target: &TargetEntry, sent_at: Instant) -> bool {
         self.lock().has_crashed_before(target_hash(target), sent_at)
     }
 
-    /// Keeps a good end for a while, in case a crash is reported for the request.
+    /// Keeps a successful run for a while, in case a crash is reported for the request.
     pub(crate) fn remember_successful_run(&self, run: SuccessfulRun, target: &TargetEntry) {
         self.lock_recent()
             .record(Instant::now(), run, target_hash(target));
     }
 
-    /// Records that a run of a request ended well and its target survived, as observed by this node.
+    /// Records a successful run that this node observed, and shares it with the other nodes if it is new.
     pub(crate) fn on_successful_run(&self, run: SuccessfulRun) {
         if self.learn_successful_run(run) {
             self.send_to_control(CrashUpdate::SuccessfulRun(run));
         }
     }
 
-    /// Counts the remembered good ends of a request that a crash is now known of.
+    /// Counts the remembered successful runs of a request for which a crash is now known.
     fn count_remembered_runs(&self, crash: Crash) {
         let state = self.lock();
         let has_crashed = |target| target == crash.target.target || state.knows_crash_of(target);
@@ -140,24 +140,24 @@
         self.update(crash.fingerprint, |state, now| state.on_crash(now, crash))
     }
 
-    /// Applies a good end that this or another node observed. Returns whether it is new.
+    /// Applies a successful run that this or another node observed. Returns whether it is new.
     pub(crate) fn learn_successful_run(&self, run: SuccessfulRun) -> bool {
         self.update(run.fingerprint, |state, now| {
             state.on_successful_run(now, run)
         })
     }
 
-    /// Ends a request's quarantine by order of an operator, which this or another node received. Returns `false` if
+    /// Lifts a request's quarantine for an operator, whose command this or another node received. Returns `false` if
     /// there was no record of the request.
     pub(crate) fn lift_quarantine(&self, fingerprint: Fingerprint) -> bool {
         let was_known = self.update(fingerprint, |state, _| state.lift_quarantine(fingerprint));
         if was_known {
-            tracing::warn!(part = "control", %fingerprint, "quarantine ended by an operator");
+            tracing::warn!(part = "control", %fingerprint, "quarantine lifted by an operator");
         }
         was_known
     }
 
-    /// Ends a request's quarantine by order of an operator on all nodes. Returns `false` if there was no record of the
+    /// Lifts a request's quarantine for an operator on all nodes. Returns `false` if there was no record of the
     /// request.
     pub(crate) fn lift_quarantine_everywhere(&self, fingerprint: Fingerprint) -> bool {
         let was_known = self.lift_quarantine(fingerprint);
@@ -201,7 +201,7 @@
         self.lock().crashes_of(fingerprint)
     }
 
-    /// Known good ends of one request.
+    /// Known successful runs of one request.
     pub(crate) fn successful_runs_of(&self, fingerprint: Fingerprint) -> Vec<SuccessfulRun> {
         self.lock().successful_runs_of(fingerprint)
     }
@@ -262,7 +262,7 @@
     }
 }
 
-/// Identifies one start of a target; the same on all nodes.
+/// Hash of a target's name and start; the same on all nodes.
 fn target_hash(target: &TargetEntry) -> u64 {
     let text = format!("{}/{}", target.id, target.started.0);
     xxhash_rust::xxh3::xxh3_64(text.as_bytes())
--- a/crates/azuresaddle-edge/src/quarantine/update.rs
+++ b/crates/azuresaddle-edge/src/quarantine/update.rs
@@ -7,10 +7,10 @@
 /// Evidence for or against a request's quarantine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum CrashUpdate {
-    /// A target ended while it processed the request.
+    /// A target crashed while it ran the request.
     Crash(Crash),
-    /// A run of the request ended well, and its target survived.
+    /// A run of the request completed, and its target survived it.
     SuccessfulRun(SuccessfulRun),
-    /// An operator ended the request's quarantine.
+    /// An operator lifted the request's quarantine.
     QuarantineLifted(Fingerprint),
 }
--- a/crates/azuresaddle-node/src/traffic/reserve.rs
+++ b/crates/azuresaddle-node/src/traffic/reserve.rs
@@ -22,7 +22,7 @@
 /// be placed without an owner waits this long for one.
 const NEW_OWNER_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Delay before the owner is asked again.
+/// Delay before the request to the owner is repeated.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// A reservation with the addresses of its targets.
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Asks the pool's owner for a reservation; an owner that can't be reached is treated as
+    /// Requests a reservation from the pool's owner; an owner that can't be reached is treated as
     /// [`ReserveReply::NotOwner`].
     async fn reserve_from_owner(&self, req: ReserveRequest) -> ReserveReply {
         let Some(owner) = self.snapshot.load().owners.get(&req.pool).cloned() else {
