--- a/crates/azuresaddle-edge/src/control/crash_writer.rs
+++ b/crates/azuresaddle-edge/src/control/crash_writer.rs
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug)]
 pub(super) enum CrashWrite {
     /// Store these crashes.
-    Keep(Vec<Crash>),
+    Put(Vec<Crash>),
     /// Remove these crashes.
     Remove(Vec<CrashKey>),
 }
@@ -81,12 +81,12 @@
 impl<N: Network> Writer<N> {
     fn enqueue(&mut self, write: &CrashWrite) {
         match write {
-            CrashWrite::Keep(crashes) => self.keep(crashes),
+            CrashWrite::Put(crashes) => self.put(crashes),
             CrashWrite::Remove(keys) => self.remove(keys),
         }
     }
 
-    fn keep(&mut self, crashes: &[Crash]) {
+    fn put(&mut self, crashes: &[Crash]) {
         for crash in crashes {
             if self.pending.len() >= MAX_PENDING {
                 tracing::warn!(
@@ -140,14 +140,14 @@
 
     async fn lease(&mut self) -> Result<Lease, StoreError> {
         let now = Instant::now();
-        if let Some((lease, taken_at)) = self.lease
-            && now - taken_at < LEASE_REUSE_AGE
+        if let Some((lease, requested_at)) = self.lease
+            && now - requested_at < LEASE_REUSE_AGE
             // After a rollback the store may grant the same lease number to another writer.
             && Some(lease.era) == self.store.era()
         {
             return Ok(lease);
         }
-        let lease = self.store.take_lease(ENTRY_TTL).await?;
+        let lease = self.store.grant_lease(ENTRY_TTL).await?;
         self.lease = Some((lease, now));
         Ok(lease)
     }
--- a/crates/azuresaddle-edge/src/control/crashes.rs
+++ b/crates/azuresaddle-edge/src/control/crashes.rs
@@ -41,7 +41,7 @@
             CrashUpdate::Crash(crash) => {
                 if self.gossip_if_quarantined(crash.fingerprint) {
                     let known = self.quarantine.crashes_of(crash.fingerprint);
-                    self.write_crashes(CrashWrite::Keep(known));
+                    self.write_crashes(CrashWrite::Put(known));
                 }
             }
             CrashUpdate::SuccessfulRun(run) => self.remove_stored_if_cleared(run.fingerprint),
@@ -105,7 +105,7 @@
         } else if self.gossip_if_quarantined(fingerprint) && self.is_owner() {
             // Each node may have seen only one crash and stored none.
             let known = self.quarantine.crashes_of(fingerprint);
-            self.write_crashes(CrashWrite::Keep(known));
+            self.write_crashes(CrashWrite::Put(known));
         }
         true
     }
@@ -200,7 +200,7 @@
             crashes = missing.len(),
             "rewriting crashes that the store has lost"
         );
-        self.write_crashes(CrashWrite::Keep(missing));
+        self.write_crashes(CrashWrite::Put(missing));
         self.stored_crashes
             .schedule_check(now + REWRITE_CHECK_DELAY);
     }
--- a/crates/azuresaddle-edge/src/control/published_targets.rs
+++ b/crates/azuresaddle-edge/src/control/published_targets.rs
@@ -77,12 +77,12 @@
     /// removal as a lapse caused by an outage; the hash reveals this.
     fn hash(&self) -> u32 {
         let mut hash = 0;
-        for held in self.entries.values() {
-            let Some(entry) = held.record.entry() else {
+        for registered in self.entries.values() {
+            let Some(entry) = registered.record.entry() else {
                 continue;
             };
             let state = u8::from(entry.state == TargetState::Ready);
-            let key = format!("{}/{state}/{}", held.record.key(), entry.started.0);
+            let key = format!("{}/{state}/{}", registered.record.key(), entry.started.0);
             // Addition makes the hash independent of the order of the entries.
             hash = u32::wrapping_add(hash, xxhash_rust::xxh3::xxh3_64(key.as_bytes()) as u32);
         }
--- a/crates/azuresaddle-edge/src/control/signal_records.rs
+++ b/crates/azuresaddle-edge/src/control/signal_records.rs
@@ -41,11 +41,11 @@
     is_draining: bool,
     rate_limit: Option<RateLimit>,
     /// When the limit, or the end of it, was last announced.
-    limit_seen_at: Option<Instant>,
+    limit_announced_at: Option<Instant>,
     /// When these signals were last gossiped.
     gossiped_at: Option<Instant>,
     /// When these signals were last updated.
-    seen_at: Instant,
+    updated_at: Instant,
 }
 
 /// Signals by target.
@@ -58,16 +58,17 @@
     /// Records the signals of an answer and returns the changes.
     pub(super) fn on_observed(&mut self, observed: &ObservedSignals) -> Vec<SignalChange> {
         let mut changes = Vec::new();
-        let Some(record) = self.record(observed.seen_at, &observed.target, observed.started) else {
+        let Some(record) = self.record(observed.received_at, &observed.target, observed.started)
+        else {
             return changes;
         };
         if observed.signals.is_draining {
             changes.extend(record.drain());
         }
         match observed.signals.rate_limit {
-            Some(limit) => changes.extend(record.set_limit(observed.seen_at, Some(limit))),
+            Some(limit) => changes.extend(record.set_limit(observed.received_at, Some(limit))),
             None if record.lifts_limit(observed) => {
-                changes.extend(record.set_limit(observed.seen_at, None));
+                changes.extend(record.set_limit(observed.received_at, None));
             }
             None => {}
         }
@@ -84,8 +85,8 @@
             changes.extend(record.drain());
         }
         if let Some(age) = update.limit_age {
-            let seen_at = now.checked_sub(age).unwrap_or(now);
-            changes.extend(record.set_limit(seen_at, update.rate_limit));
+            let announced_at = now.checked_sub(age).unwrap_or(now);
+            changes.extend(record.set_limit(announced_at, update.rate_limit));
         }
         changes
     }
@@ -141,7 +142,7 @@
     /// Removes records that are older than `SIGNAL_RETENTION` and not known to `is_known`.
     pub(super) fn remove_expired(&mut self, now: Instant, is_known: impl Fn(&HostName) -> bool) {
         let is_recent =
-            |r: &SignalRecord| now.saturating_duration_since(r.seen_at) < SIGNAL_RETENTION;
+            |r: &SignalRecord| now.saturating_duration_since(r.updated_at) < SIGNAL_RETENTION;
         self.records.retain(|id, r| is_recent(r) || is_known(id));
     }
 
@@ -159,7 +160,7 @@
         if record.started < started {
             *record = SignalRecord::new(now, started);
         }
-        record.seen_at = record.seen_at.max(now);
+        record.updated_at = record.updated_at.max(now);
         (record.started == started).then_some(record)
     }
 }
@@ -170,9 +171,9 @@
             started,
             is_draining: false,
             rate_limit: None,
-            limit_seen_at: None,
+            limit_announced_at: None,
             gossiped_at: None,
-            seen_at: now,
+            updated_at: now,
         }
     }
 
@@ -182,11 +183,15 @@
     }
 
     /// Records a limit, or the end of it, unless a later announcement is known.
-    fn set_limit(&mut self, seen_at: Instant, limit: Option<RateLimit>) -> Option<SignalChange> {
-        if self.limit_seen_at.is_some_and(|at| seen_at < at) {
+    fn set_limit(
+        &mut self,
+        announced_at: Instant,
+        limit: Option<RateLimit>,
+    ) -> Option<SignalChange> {
+        if self.limit_announced_at.is_some_and(|at| announced_at < at) {
             return None;
         }
-        self.limit_seen_at = Some(seen_at);
+        self.limit_announced_at = Some(announced_at);
         let before = std::mem::replace(&mut self.rate_limit, limit);
         let change = limit.map_or(SignalChange::Unlimited, SignalChange::Limited);
         (before != limit).then_some(change)
@@ -195,7 +200,9 @@
     /// Returns whether an answer without a limit lifts the known one: its request was sent after
     /// the limit was announced.
     fn lifts_limit(&self, observed: &ObservedSignals) -> bool {
-        let announced_at = self.limit_seen_at.filter(|_| self.rate_limit.is_some());
+        let announced_at = self
+            .limit_announced_at
+            .filter(|_| self.rate_limit.is_some());
         observed.is_served && announced_at.is_some_and(|at| observed.sent_at >= at + REORDER_WINDOW)
     }
 
@@ -206,7 +213,7 @@
             is_draining: self.is_draining,
             rate_limit: self.rate_limit,
             limit_age: self
-                .limit_seen_at
+                .limit_announced_at
                 .map(|at| now.saturating_duration_since(at)),
         }
     }
--- a/crates/azuresaddle-edge/src/control/signals.rs
+++ b/crates/azuresaddle-edge/src/control/signals.rs
@@ -32,7 +32,7 @@
         let has_changed = !changes.is_empty();
         if self
             .signals
-            .should_gossip(observed.seen_at, &observed.target, has_changed)
+            .should_gossip(observed.received_at, &observed.target, has_changed)
         {
             self.signal_gossip.push(observed.target.clone());
             self.gossip_signals().await;
--- a/crates/azuresaddle-edge/src/control/tests/signals.rs
+++ b/crates/azuresaddle-edge/src/control/tests/signals.rs
@@ -32,7 +32,7 @@
         target: target(),
         started: BORN,
         sent_at: at.checked_sub(Duration::from_millis(100)).unwrap(),
-        seen_at: at,
+        received_at: at,
         is_served: true,
         signals: TargetSignals {
             rate_limit,
--- a/crates/azuresaddle-edge/src/forward/forwarder.rs
+++ b/crates/azuresaddle-edge/src/forward/forwarder.rs
@@ -181,7 +181,7 @@
             let snapshot = self.snapshots.load();
             if limits != snapshot.rate_limits {
                 limits = Arc::clone(&snapshot.rate_limits);
-                self.health.forget_limits();
+                self.health.clear_limits();
             }
             if Arc::ptr_eq(&known, &snapshot.targets) {
                 continue;
@@ -194,7 +194,7 @@
             for target in snapshot.targets.restarted_since(&before) {
                 tracing::info!(part = "forward", %target, "target restarted");
                 self.connections.drop_idle(&target);
-                self.health.forget(&target);
+                self.health.clear(&target);
             }
         }
     }
--- a/crates/azuresaddle-edge/src/forward/plain.rs
+++ b/crates/azuresaddle-edge/src/forward/plain.rs
@@ -85,15 +85,15 @@
         };
         let may_retry = req.is_idempotent() && history.runs + 1 < req.route.max_attempts;
         let timeout = send_timeout(req, may_retry);
-        let started = Instant::now();
+        let sent_at = Instant::now();
         let result = send_plain(cx, req, &target, timeout).await;
         drop(in_flight);
         if result.as_ref().is_ok_and(|a| a.status.is_success()) {
-            record_successful_run(cx, req, &target, started);
+            record_successful_run(cx, req, &target, sent_at);
         }
         match result {
             Ok(answer) if answer.is_failure() && may_retry && cx.try_take_retry(&req.service) => {
-                cx.health.on_answer(&target.id, started.elapsed());
+                cx.health.on_answer(&target.id, sent_at.elapsed());
                 history.runs += 1;
                 history.exclude.push(target.id.clone());
                 history.last_failure = Some(answer);
@@ -111,13 +111,13 @@
                     age_ms = req.arrived.elapsed().as_millis() as u64,
                     "answered"
                 );
-                cx.health.on_answer(&target.id, started.elapsed());
+                cx.health.on_answer(&target.id, sent_at.elapsed());
                 return answer.into_response();
             }
             Err(failure) => {
                 record_failure(cx, &target, &failure);
                 if failure.verdict() == Verdict::MayHaveRun {
-                    check_for_crash(cx, req, &target, started).await;
+                    check_for_crash(cx, req, &target, sent_at).await;
                 }
                 tracing::info!(
                     part = "forward",
--- a/crates/azuresaddle-edge/src/forward/reservations.rs
+++ b/crates/azuresaddle-edge/src/forward/reservations.rs
@@ -37,10 +37,10 @@
     name: &str,
     tokens: u64,
 ) -> Result<Reservations, HostName> {
-    let orders = helpers
+    let requests = helpers
         .iter()
-        .map(|helper| order(cx, helper, encode_reserve(name, tokens, ttl_ms(), false)));
-    let answers = join_all(orders).await;
+        .map(|helper| send_request(cx, helper, encode_reserve(name, tokens, ttl_ms(), false)));
+    let answers = join_all(requests).await;
     let stopped = CancellationToken::new();
     // From here on the task releases all reservations, including those whose answer was lost.
     cx.spawner.spawn(renew(
@@ -94,23 +94,23 @@
         let snapshot = cx.snapshots.load();
         helpers.retain(|h| !snapshot.targets.has_restarted(h));
         let body = encode_reserve(&name, tokens, ttl_ms(), false);
-        order_all(&cx, &helpers, &name, &body).await;
+        send_to_all(&cx, &helpers, &name, &body).await;
     }
-    order_all(&cx, &helpers, &name, &encode_release(&name)).await;
+    send_to_all(&cx, &helpers, &name, &encode_release(&name)).await;
 }
 
 /// Sends one order to all helpers.
-async fn order_all<N: Network>(
+async fn send_to_all<N: Network>(
     cx: &Arc<Forwarder<N>>,
     helpers: &[Arc<TargetEntry>],
     name: &str,
     body: &[u8],
 ) {
-    let orders = helpers.iter().map(|h| order(cx, h, body.to_vec()));
-    log_failures(helpers, name, &join_all(orders).await);
+    let requests = helpers.iter().map(|h| send_request(cx, h, body.to_vec()));
+    log_failures(helpers, name, &join_all(requests).await);
 }
 
-/// Logs failed orders. No retry is needed, since reservations expire.
+/// Logs failed requests. No retry is needed, since reservations expire.
 fn log_failures(helpers: &[Arc<TargetEntry>], name: &str, answers: &[Result<(), SendFailure>]) {
     for (helper, answer) in helpers.iter().zip(answers) {
         if let Err(e) = answer {
@@ -126,7 +126,7 @@
 }
 
 /// Sends one order and checks the answer.
-async fn order<N: Network>(
+async fn send_request<N: Network>(
     cx: &Arc<Forwarder<N>>,
     target: &TargetEntry,
     body: Vec<u8>,
--- a/crates/azuresaddle-edge/src/forward/signals.rs
+++ b/crates/azuresaddle-edge/src/forward/signals.rs
@@ -45,7 +45,7 @@
             target: target.id.clone(),
             started: target.started,
             sent_at,
-            seen_at: Instant::now(),
+            received_at: Instant::now(),
             is_served,
             signals,
         };
--- a/crates/azuresaddle-edge/src/forward/stream/placement.rs
+++ b/crates/azuresaddle-edge/src/forward/stream/placement.rs
@@ -58,10 +58,10 @@
     /// Waits for targets. Fails if the request is quarantined first.
     pub(super) async fn place_unless_quarantined(&mut self) -> Result<Placement<N>, PlaceError> {
         let quarantine = Arc::clone(&self.cx.quarantine);
-        let request = self.req.fingerprint;
+        let fingerprint = self.req.fingerprint;
         tokio::select! {
             biased;
-            () = quarantine.until_quarantined(request) => Err(PlaceError::Quarantined),
+            () = quarantine.until_quarantined(fingerprint) => Err(PlaceError::Quarantined),
             placed = self.place() => placed.map_err(PlaceError::RetryAfter),
         }
     }
--- a/crates/azuresaddle-edge/src/node.rs
+++ b/crates/azuresaddle-edge/src/node.rs
@@ -125,12 +125,12 @@
         });
         let (pace_probes, pace_probes_rx) = mpsc::channel(PACE_PROBE_QUEUE_CAPACITY);
         let all = PassOptions::default();
-        let placing = options.without.iter().fold(all, |o, m| o.without(*m));
-        let owner = Owner::spawn(&spawner, &snapshots, incarnation, placing, pace_probes);
+        let pass_options = options.without.iter().fold(all, |o, m| o.without(*m));
+        let owner = Owner::spawn(&spawner, &snapshots, incarnation, pass_options, pace_probes);
         let peer_addr = SocketAddr::from((settings.ip, settings.peer_port));
         let peers = bind(&net, "calls between nodes", peer_addr).await?;
-        let served = Arc::clone(&owner);
-        serve_peers(peers, &spawner, served, snapshots.clone(), incarnation);
+        let peer_owner = Arc::clone(&owner);
+        serve_peers(peers, &spawner, peer_owner, snapshots.clone(), incarnation);
         let placement = PlacementClient::spawn(
             &spawner,
             PlacementClientParts {
--- a/crates/azuresaddle-edge/src/operator_endpoints.rs
+++ b/crates/azuresaddle-edge/src/operator_endpoints.rs
@@ -39,11 +39,11 @@
 }
 
 impl OperatorEndpoints {
-    fn lift_quarantine(&self, request: &str) -> Response<Body> {
-        let Ok(request) = request.parse::<Fingerprint>() else {
+    fn lift_quarantine(&self, fingerprint: &str) -> Response<Body> {
+        let Ok(fingerprint) = fingerprint.parse::<Fingerprint>() else {
             return status(StatusCode::BAD_REQUEST);
         };
-        if self.quarantine.lift_quarantine_everywhere(request) {
+        if self.quarantine.lift_quarantine_everywhere(fingerprint) {
             status(StatusCode::NO_CONTENT)
         } else {
             status(StatusCode::NOT_FOUND)
@@ -60,7 +60,9 @@
             BURN_PATH => json(&self.burn.counts(Instant::now())),
             QUARANTINE_PATH => json(&self.quarantine.list()),
             _ => match below(QUARANTINE_PATH) {
-                Some(request) if req.method() == Method::DELETE => self.lift_quarantine(request),
+                Some(fingerprint) if req.method() == Method::DELETE => {
+                    self.lift_quarantine(fingerprint)
+                }
                 _ => status(StatusCode::NOT_FOUND),
             },
         }
--- a/crates/azuresaddle-edge/src/signals.rs
+++ b/crates/azuresaddle-edge/src/signals.rs
@@ -17,7 +17,7 @@
     /// When the request was sent; signals announced before that may have changed since.
     pub(crate) sent_at: Instant,
     /// When the answer was received.
-    pub(crate) seen_at: Instant,
+    pub(crate) received_at: Instant,
     /// Whether the target served a request. Only then a missing header means that a signal ended: failures, reports and
     /// orders may lack the headers for other reasons.
     pub(crate) is_served: bool,
--- a/crates/azuresaddle-edge/src/targets/health.rs
+++ b/crates/azuresaddle-edge/src/targets/health.rs
@@ -16,7 +16,7 @@
 const MAX_LOAD_AGE: Duration = Duration::from_millis(300);
 
 /// Time for which a target that refused a request is avoided; it may request a longer back-off.
-const REFUSAL_PAUSE: Duration = Duration::from_millis(120);
+const REFUSAL_AVOIDANCE_TIME: Duration = Duration::from_millis(120);
 
 /// Preference for a target in the node's own failure domain, in requests; small enough to decide only between targets of
 /// equal load.
@@ -41,7 +41,7 @@
     load: Option<(u32, Instant)>,
     breaker: Breaker,
     /// Until when the target is avoided, since it refused a request.
-    paused_until: Option<Instant>,
+    avoided_until: Option<Instant>,
     /// Until when the target's rate limit is used up.
     limited_until: Option<Instant>,
     /// Whether another server answers at its address.
@@ -75,25 +75,25 @@
         }
         let cost = |t: &TargetEntry| {
             let state = observations.get(&t.id);
-            let busy = state.map_or(0.0, |s| s.expected_requests(now));
-            let pace = state.and_then(|s| s.mean_answer_ms).unwrap_or(1.0).max(1.0);
+            let requests = state.map_or(0.0, |s| s.expected_requests(now));
+            let mean_ms = state.and_then(|s| s.mean_answer_ms).unwrap_or(1.0).max(1.0);
             let local = if t.domain == *domain {
                 SAME_DOMAIN_BONUS
             } else {
                 0.0
             };
             // The random part keeps nodes with the same observations from choosing the same target.
-            (busy + 1.0 - local + rand::rng().random_range(0.0..0.2)) * pace
+            (requests + 1.0 - local + rand::rng().random_range(0.0..0.2)) * mean_ms
         };
         let costs: Vec<f64> = candidates.iter().map(|t| cost(t)).collect();
         let best = (0..candidates.len()).min_by(|a, b| costs[*a].total_cmp(&costs[*b]))?;
         let target = Arc::clone(candidates[best]);
         observations.entry(target.id.clone()).or_default().in_flight += 1;
-        let busy = InFlightGuard {
+        let in_flight = InFlightGuard {
             health: Arc::clone(self),
             target: target.id.clone(),
         };
-        Some((target, busy))
+        Some((target, in_flight))
     }
 
     /// Records an answer and the time that it took.
@@ -123,8 +123,8 @@
 
     /// Records that a target refused a request.
     pub(crate) fn on_refused(&self, target: &HostName) {
-        let until = Instant::now() + REFUSAL_PAUSE;
-        self.lock().entry(target.clone()).or_default().paused_until = Some(until);
+        let until = Instant::now() + REFUSAL_AVOIDANCE_TIME;
+        self.lock().entry(target.clone()).or_default().avoided_until = Some(until);
     }
 
     /// Records that a target's rate limit is used up for the time `wait`.
@@ -134,7 +134,7 @@
     }
 
     /// Clears which rate limits are used up. Called when the limits change.
-    pub(crate) fn forget_limits(&self) {
+    pub(crate) fn clear_limits(&self) {
         for state in self.lock().values_mut() {
             state.limited_until = None;
         }
@@ -171,9 +171,9 @@
     }
 
     /// Clears the observations of a target that has restarted. Requests to its earlier start count until they end.
-    pub(crate) fn forget(&self, target: &HostName) {
+    pub(crate) fn clear(&self, target: &HostName) {
         if let Some(state) = self.lock().get_mut(target) {
-            state.forget();
+            state.clear();
         }
         self.back_offs.retain(|t| t != target);
     }
@@ -184,7 +184,7 @@
         self.lock().retain(|target, s| {
             let is_kept = keep(target);
             if !is_kept {
-                s.forget();
+                s.clear();
             }
             is_kept || s.in_flight > 0
         });
@@ -198,7 +198,7 @@
 }
 
 impl Observations {
-    fn forget(&mut self) {
+    fn clear(&mut self) {
         *self = Self {
             in_flight: self.in_flight,
             ..Self::default()
@@ -217,7 +217,7 @@
 
     /// Whether a request may be sent even if there are other targets: no recent refusal, and the circuit breaker allows it.
     fn is_preferred(&self, now: Instant) -> bool {
-        self.paused_until.is_none_or(|until| now >= until)
+        self.avoided_until.is_none_or(|until| now >= until)
             && self.breaker.allows(now, self.in_flight as usize)
     }
 
--- a/crates/azuresaddle-edge/src/targets/tests/back_offs.rs
+++ b/crates/azuresaddle-edge/src/targets/tests/back_offs.rs
@@ -48,7 +48,7 @@
     let health = TargetHealth::default();
     let id = target("a").id.clone();
     health.back_offs().start(&id, Duration::from_secs(3600));
-    health.forget(&id);
+    health.clear(&id);
     assert!(health.back_offs().until(&id).is_none());
 }
 
@@ -60,7 +60,7 @@
     assert_eq!(health.retry_in(&targets), None, "b takes requests");
     health.on_limited(&targets[1].id, PAUSE / 2);
     assert_eq!(health.retry_in(&targets), Some(PAUSE / 2));
-    health.forget_limits();
+    health.clear_limits();
     assert_eq!(health.retry_in(&targets), None);
     assert_eq!(health.retry_in(&[]), None);
 }
--- a/crates/azuresaddle-edge/src/targets/tests/health.rs
+++ b/crates/azuresaddle-edge/src/targets/tests/health.rs
@@ -40,7 +40,7 @@
     for _ in 0..20 {
         assert_eq!(picked(&health, &targets), targets[1].id);
     }
-    health.forget(a);
+    health.clear(a);
     assert!(!health.is_address_reused(a));
     let times = (0..20).filter(|_| picked(&health, &targets) == *a).count();
     assert!(times > 0, "the restarted target gets requests");
--- a/crates/azuresaddle-node/src/control/actor.rs
+++ b/crates/azuresaddle-node/src/control/actor.rs
@@ -145,13 +145,13 @@
                 self.fetching_rules = false;
                 self.apply_rules(now, *record);
             }
-            Command::LeaseHeld(lease, sent) => self.on_lease_held(lease, sent),
+            Command::LeaseHeld(lease, sent_at) => self.on_lease_held(lease, sent_at),
             Command::LeaseExpired(lease) => self.on_lease_expired(lease),
             Command::Acquired(pool, result) => self.on_acquired(now, pool, result),
             Command::HandedOver(pool, done) => self.on_handed_over(&pool, done),
             Command::Load(target, report) => self.on_load(now, &target, report),
-            Command::StreamListing(target, list, sent) => {
-                self.on_stream_listing(now, &target, list, sent);
+            Command::StreamListing(target, list, sent_at) => {
+                self.on_stream_listing(now, &target, list, sent_at);
             }
             Command::CacheListing(target, listing) => self.on_cache_listing(&target, listing),
             Command::CacheEvents(target, events) => self.on_cache_events(&target, events),
--- a/crates/azuresaddle-node/src/control/cancel.rs
+++ b/crates/azuresaddle-node/src/control/cancel.rs
@@ -40,7 +40,7 @@
         let names = owned.pool.targets_of(stream);
         if names.is_empty() {
             owned.pool.on_end(now, stream, outcome);
-            owned.forget(stream);
+            owned.remove_attempt(stream);
             return;
         }
         if owned.cancelling.insert(stream, now).is_some() {
@@ -90,7 +90,7 @@
     ) {
         if let Some(owned) = self.owned.get_mut(pool) {
             owned.pool.on_end(now, stream, outcome);
-            owned.forget(stream);
+            owned.remove_attempt(stream);
         }
         self.dispatch_all();
     }
--- a/crates/azuresaddle-node/src/control/lease.rs
+++ b/crates/azuresaddle-node/src/control/lease.rs
@@ -34,7 +34,7 @@
             loop {
                 // The time to live is counted from before the call, since it is unknown when the
                 // store handled it.
-                let sent = Instant::now();
+                let sent_at = Instant::now();
                 let result = match held {
                     Some(lease) => store.renew_lease(lease).await.map(|()| lease),
                     None => store.grant_lease(ttl).await,
@@ -42,7 +42,7 @@
                 match result {
                     Ok(lease) => {
                         held = Some(lease);
-                        let _ = tx.send(Command::LeaseHeld(lease, sent)).await;
+                        let _ = tx.send(Command::LeaseHeld(lease, sent_at)).await;
                     }
                     Err(StoreError::LeaseExpired) => {
                         if let Some(lease) = held.take() {
@@ -57,12 +57,12 @@
         });
     }
 
-    pub(super) fn on_lease_held(&mut self, id: LeaseId, sent: Instant) {
-        self.store_last_seen = Some(sent.max(self.store_last_seen.unwrap_or(sent)));
+    pub(super) fn on_lease_held(&mut self, id: LeaseId, sent_at: Instant) {
+        self.store_last_seen = Some(sent_at.max(self.store_last_seen.unwrap_or(sent_at)));
         let ttl = self.parts.settings.lease_ttl;
         self.lease = Some(HeldLease {
             id,
-            valid_until: sent + ttl - ttl / CLOCK_DRIFT_DIVISOR,
+            valid_until: sent_at + ttl - ttl / CLOCK_DRIFT_DIVISOR,
         });
     }
 
--- a/crates/azuresaddle-node/src/control/owned_pool.rs
+++ b/crates/azuresaddle-node/src/control/owned_pool.rs
@@ -77,7 +77,7 @@
     }
 
     /// Removes an attempt that has ended.
-    pub(super) fn forget(&mut self, stream: StreamId) {
+    pub(super) fn remove_attempt(&mut self, stream: StreamId) {
         self.grants.remove(&stream);
         self.last_in_use.remove(&stream);
         self.cancelling.remove(&stream);
--- a/crates/azuresaddle-node/src/control/reservations.rs
+++ b/crates/azuresaddle-node/src/control/reservations.rs
@@ -99,7 +99,7 @@
             }
             ReportKind::Ended(outcome) => {
                 owned.pool.on_end(now, stream, outcome);
-                owned.forget(stream);
+                owned.remove_attempt(stream);
             }
             ReportKind::Abandoned { target_failed } => {
                 let outcome = if target_failed {
@@ -166,7 +166,7 @@
             for stream in stale {
                 if is_waiting(owned, stream) {
                     owned.pool.on_end(now, stream, Outcome::Cancelled);
-                    owned.forget(stream);
+                    owned.remove_attempt(stream);
                     continue;
                 }
                 orphans.push((id.clone(), stream));
--- a/crates/azuresaddle-node/src/control/targets.rs
+++ b/crates/azuresaddle-node/src/control/targets.rs
@@ -83,10 +83,10 @@
         };
         let engines = self.engines.clone();
         let (name, addr) = (name.clone(), engine.addr);
-        let sent = Instant::now();
+        let sent_at = Instant::now();
         self.spawn_command(async move {
             let list = engines.streams(addr).await.ok()?;
-            Some(Command::StreamListing(name, list, sent))
+            Some(Command::StreamListing(name, list, sent_at))
         });
     }
 
@@ -133,7 +133,7 @@
         now: Instant,
         name: &HostName,
         list: StreamList,
-        sent: Instant,
+        sent_at: Instant,
     ) {
         for owned in self.owned.values_mut() {
             if !owned.pool.target_names().any(|known| known == name) {
@@ -149,11 +149,11 @@
             }
             for stream in owned
                 .pool
-                .missing_on(sent, name, &list.streams, MIN_LISTED_AGE)
+                .missing_on(sent_at, name, &list.streams, MIN_LISTED_AGE)
             {
                 tracing::warn!("owner: {name} does not list {stream}, dropping its reservation");
                 owned.pool.on_end(now, stream, Outcome::Cancelled);
-                owned.forget(stream);
+                owned.remove_attempt(stream);
             }
         }
         self.sync_targets(now);
--- a/crates/azuresaddle-node/src/traffic/reserve.rs
+++ b/crates/azuresaddle-node/src/traffic/reserve.rs
@@ -84,14 +84,14 @@
     ) -> Result<Placement, Problem> {
         let mut unanswered_since = Instant::now();
         loop {
-            let mut attempt = req.clone();
-            attempt.time_left = deadline.saturating_duration_since(Instant::now());
-            let mut reply = self.reserve_from_owner(attempt.clone()).await;
+            let mut request = req.clone();
+            request.time_left = deadline.saturating_duration_since(Instant::now());
+            let mut reply = self.reserve_from_owner(request.clone()).await;
             let now = Instant::now();
             if matches!(reply, ReserveReply::NotOwner) {
                 let without_owner = now - unanswered_since;
                 if without_owner >= FALLBACK_AFTER {
-                    reply = self.control.fallback(attempt).await;
+                    reply = self.control.fallback(request).await;
                 }
                 let is_new_owner_due =
                     self.snapshot.load().store_reachable && without_owner < NEW_OWNER_TIMEOUT;
--- a/crates/azuresaddle-sched/src/passes/engine.rs
+++ b/crates/azuresaddle-sched/src/passes/engine.rs
@@ -87,7 +87,7 @@
     /// Until when suspects that need isolation are kept away although none runs here.
     isolated_until: Instant,
     /// Its rate limit; `None` if it has none.
-    pub(super) rate: Option<RateBucket>,
+    pub(super) rate_bucket: Option<RateBucket>,
 }
 
 impl Engine {
@@ -106,14 +106,14 @@
             leaving: false,
             breaker: Breaker::default(),
             isolated_until: now,
-            rate: None,
+            rate_bucket: None,
         }
     }
 
     /// Whether the engine accepts new work.
     pub(super) fn accepts_work(&self, now: Instant) -> bool {
         self.accepts_work_ignoring_rate_limit(now)
-            && self.rate.is_none_or(|rate| rate.has_token(now))
+            && self.rate_bucket.is_none_or(|rate| rate.has_token(now))
     }
 
     /// Whether the engine accepts new work, leaving its rate limit aside.
@@ -126,7 +126,7 @@
 
     /// Counts a stream, or a part of one, against the engine's rate limit.
     pub(super) fn take_rate_token(&mut self, now: Instant) {
-        if let Some(rate) = &mut self.rate {
+        if let Some(rate) = &mut self.rate_bucket {
             rate.take(now);
         }
     }
--- a/crates/azuresaddle-sched/src/passes/pool/pace_probes.rs
+++ b/crates/azuresaddle-sched/src/passes/pool/pace_probes.rs
@@ -72,7 +72,7 @@
         let probes = &mut self.probes;
         let engines = self.engines.values_mut();
         // A probe counts against the engine's rate limit.
-        let may_probe = |e: &Engine| e.rate.is_none_or(|rate| rate.has_token(now));
+        let may_probe = |e: &Engine| e.rate_bucket.is_none_or(|rate| rate.has_token(now));
         let is_due = |e: &&mut Engine| e.pace.is_probe_due(now) && may_probe(e);
         let mut due: Vec<&mut Engine> = engines.filter(is_due).collect();
         // Engines probed longest ago come first, so that none is left out for good.
--- a/crates/azuresaddle-sched/src/passes/pool/rate_limits.rs
+++ b/crates/azuresaddle-sched/src/passes/pool/rate_limits.rs
@@ -24,10 +24,12 @@
     ) {
         for engine in self.engines.values_mut() {
             let Some(limit) = limit_of(&engine.name) else {
-                engine.rate = None;
+                engine.rate_bucket = None;
                 continue;
             };
-            let rate = engine.rate.get_or_insert(RateBucket::new(now, *limit));
+            let rate = engine
+                .rate_bucket
+                .get_or_insert(RateBucket::new(now, *limit));
             rate.set_limit(now, *limit);
             if !self.is_owner {
                 rate.suspend();
@@ -38,7 +40,11 @@
     /// Sets whether this node owns the pool; only the owner uses engines with a rate limit.
     pub fn set_owner(&mut self, now: Instant, is_owner: bool) {
         self.is_owner = is_owner;
-        for rate in self.engines.values_mut().filter_map(|e| e.rate.as_mut()) {
+        for rate in self
+            .engines
+            .values_mut()
+            .filter_map(|e| e.rate_bucket.as_mut())
+        {
             if is_owner {
                 rate.resume(now);
             } else {
@@ -61,7 +67,7 @@
             .engines
             .values()
             .filter(|e| e.accepts_work_ignoring_rate_limit(now));
-        let rates: Vec<RateBucket> = available.filter_map(|e| e.rate).collect();
+        let rates: Vec<RateBucket> = available.filter_map(|e| e.rate_bucket).collect();
         let next = rates.iter().map(|r| r.next_token_in(now)).min()?;
         let together: f64 = rates.iter().map(RateBucket::rate).sum();
         Some(next + Duration::from_secs_f64(requests_ahead as f64 / together))
--- a/crates/azuresaddle-sched/src/pool/dispatch.rs
+++ b/crates/azuresaddle-sched/src/pool/dispatch.rs
@@ -42,8 +42,8 @@
         if self.queue.is_class_empty(class) {
             return false;
         }
-        let round = self.begin_round(now, class);
-        let most_free = round
+        let class_targets = self.class_targets(now, class);
+        let most_free = class_targets
             .candidates
             .iter()
             .map(|k| self.targets[*k].free())
@@ -53,7 +53,7 @@
         };
         let tries = if self.options.backfill { MAX_TRIED } else { 1 };
         let found = self.queue.in_order(class).take(tries).find_map(|key| {
-            let targets = self.place(now, key, &round, most_free)?;
+            let targets = self.place(now, key, &class_targets, most_free)?;
             Some((key, targets))
         });
         let Some((key, targets)) = found else {
@@ -64,7 +64,7 @@
     }
 
     /// Determines the targets that a class may use now.
-    fn begin_round(&self, now: Instant, class: Class) -> Round {
+    fn class_targets(&self, now: Instant, class: Class) -> ClassTargets {
         let (room, none_running) = match class {
             Class::Short => (usize::MAX, false),
             Class::Long => {
@@ -73,7 +73,7 @@
                 (room, !self.any_long_prefill())
             }
         };
-        Round {
+        ClassTargets {
             candidates: self.candidates(now, class),
             room,
             none_running,
@@ -119,7 +119,7 @@
         &self,
         now: Instant,
         key: WaitKey,
-        round: &Round,
+        class_targets: &ClassTargets,
         most_free: u64,
     ) -> Option<Vec<TargetKey>> {
         let waiting = self.queue.get(key)?;
@@ -127,8 +127,8 @@
         let members = self.member_count_for(request);
         // A request that needs more targets than the class may use runs if no other of its class is
         // running.
-        let room = round.room.saturating_add(self.drained_for(key));
-        if members == 0 || (members > room && !round.none_running) {
+        let room = class_targets.room.saturating_add(self.drained_for(key));
+        if members == 0 || (members > room && !class_targets.none_running) {
             return None;
         }
         let memory = request.memory_tokens().div_ceil(members as u64);
@@ -140,7 +140,7 @@
                 && !request.exclude.contains(&target.spec.name)
                 && self.respects_drain(now, target, key, waiting.prefill)
         };
-        let mut fitting: Vec<_> = round
+        let mut fitting: Vec<_> = class_targets
             .candidates
             .iter()
             .copied()
@@ -253,7 +253,7 @@
 }
 
 /// Targets available to a class in one pass over its queue.
-struct Round {
+struct ClassTargets {
     candidates: Vec<TargetKey>,
     /// Number of further targets that the class may use.
     room: usize,
--- a/crates/azuresaddle-sched/src/pool/events.rs
+++ b/crates/azuresaddle-sched/src/pool/events.rs
@@ -11,7 +11,7 @@
 use crate::target::TargetKey;
 
 /// Time without new reservations after a target refused a request that should have fitted.
-const REFUSED_PAUSE: Duration = Duration::from_millis(500);
+const REFUSAL_AVOIDANCE_TIME: Duration = Duration::from_millis(500);
 
 impl Pool {
     /// Records the first token of an attempt and frees its prefill slots.
@@ -106,7 +106,7 @@
         match outcome {
             Outcome::Done { .. } => target.breaker.on_success(),
             Outcome::Cancelled => {}
-            Outcome::TargetRefused => target.paused_until = now + REFUSED_PAUSE,
+            Outcome::TargetRefused => target.avoided_until = now + REFUSAL_AVOIDANCE_TIME,
             Outcome::TargetFailed => target.breaker.on_failure(now),
         }
     }
--- a/crates/azuresaddle-sched/src/pool/mod.rs
+++ b/crates/azuresaddle-sched/src/pool/mod.rs
@@ -134,7 +134,7 @@
         [
             ready,
             target.breaker.open_until(now),
-            Some(target.paused_until),
+            Some(target.avoided_until),
             Some(target.probe_at),
         ]
         .into_iter()
--- a/crates/azuresaddle-sched/src/quarantine/state.rs
+++ b/crates/azuresaddle-sched/src/quarantine/state.rs
@@ -281,7 +281,7 @@
                 .get(fingerprint)
                 .is_some_and(|expires_at| now < *expires_at)
         });
-        self.remove_forgotten_requests();
+        self.remove_unrecorded_requests();
     }
 
     /// Expiry time of each record.
@@ -294,7 +294,7 @@
     }
 
     /// Removes requests without a record from the crashed targets, and targets without any request left.
-    fn remove_forgotten_requests(&mut self) {
+    fn remove_unrecorded_requests(&mut self) {
         self.crashed_targets.retain(|_, crashed| {
             crashed
                 .requests
@@ -327,7 +327,7 @@
         for (_, fingerprint) in expiries.iter().take(EVICTION_BATCH) {
             self.records.remove(fingerprint);
         }
-        self.remove_forgotten_requests();
+        self.remove_unrecorded_requests();
     }
 }
 
--- a/crates/azuresaddle-sched/src/target.rs
+++ b/crates/azuresaddle-sched/src/target.rs
@@ -45,7 +45,7 @@
     /// Whether the target is leaving and gets no new reservations.
     pub(crate) leaving: bool,
     /// No new reservations before this time, since the target refused one that should have fitted.
-    pub(crate) paused_until: Instant,
+    pub(crate) avoided_until: Instant,
     /// When the target is next tried if it is much slower than the others.
     pub(crate) probe_at: Instant,
     pub(crate) drain: Option<DrainKey>,
@@ -65,7 +65,7 @@
             rate: PrefillRate::new(rate),
             breaker: Breaker::default(),
             leaving: false,
-            paused_until: now,
+            avoided_until: now,
             probe_at: now,
             drain: None,
             incarnation: Incarnation::default(),
@@ -81,7 +81,7 @@
     /// Whether the target may get new reservations at all, apart from memory and prefill slots.
     pub(crate) fn accepts_work(&self, now: Instant) -> bool {
         !self.leaving
-            && now >= self.paused_until
+            && now >= self.avoided_until
             && self.breaker.allows(now, self.reservations.len())
     }
 
--- a/src/cmd/quarantine.rs
+++ b/src/cmd/quarantine.rs
@@ -69,15 +69,17 @@
 }
 
 async fn end(args: &ArgMatches) -> Result<()> {
-    let request: Fingerprint = *args.get_one("FINGERPRINT").expect("is required");
-    let path = format!("{QUARANTINE_PATH}/{request}");
+    let fingerprint: Fingerprint = *args.get_one("FINGERPRINT").expect("is required");
+    let path = format!("{QUARANTINE_PATH}/{fingerprint}");
     let answer = client(args).call(Method::DELETE, &path, &()).await?;
     match answer.status {
         status if status.is_success() => {
-            output::print_line(format!("quarantine of {request} ended"));
+            output::print_line(format!("quarantine of {fingerprint} ended"));
             Ok(())
         }
-        StatusCode::NOT_FOUND => bail!("the node has recorded no crashes for request {request}"),
+        StatusCode::NOT_FOUND => {
+            bail!("the node has recorded no crashes for request {fingerprint}")
+        }
         status => bail!("the node answered with status {status}"),
     }
 }
