--- a/crates/azuresaddle-edge/src/control/crash_writer.rs
+++ b/crates/azuresaddle-edge/src/control/crash_writer.rs
@@ -30,9 +30,9 @@
 /// A change of the stored crashes.
 #[derive(Clone, Debug)]
 pub(super) enum CrashWrite {
-    /// Store these crashes.
+    /// Write these crashes to the store.
     Put(Vec<Crash>),
-    /// Remove these crashes.
+    /// Remove these crashes from the store.
     Remove(Vec<CrashKey>),
 }
 
--- a/crates/azuresaddle-edge/src/control/failover.rs
+++ b/crates/azuresaddle-edge/src/control/failover.rs
@@ -79,7 +79,7 @@
         self.check_suspicion(now)
     }
 
-    /// Returns the vote to send and the successor's host; `None` if this node suspects nobody.
+    /// Returns the vote to send and the successor's host; `None` if this node does not suspect the owner.
     pub(super) fn vote(&self, now: Instant) -> Option<(Ipv4Addr, Vote)> {
         let suspicion = self.failover.suspicion?;
         let successor = self.successor(now, suspicion.owner)?;
--- a/crates/azuresaddle-edge/src/control/failover_messages.rs
+++ b/crates/azuresaddle-edge/src/control/failover_messages.rs
@@ -26,8 +26,8 @@
         }
     }
 
-    /// Announces to all nodes at once that this node is the owner now. Regular gossip would leave
-    /// some of them asking the previous owner for a second.
+    /// Announces to all nodes at once that this node is the owner now. With regular
+    /// gossip, some of them would send requests to the previous owner for another second.
     pub(super) async fn announce_claim(&mut self, now: Instant, claimed: bool) {
         if !claimed {
             return;
--- a/crates/azuresaddle-edge/src/control/publish.rs
+++ b/crates/azuresaddle-edge/src/control/publish.rs
@@ -1,4 +1,4 @@
-//! Publishes snapshots of the control plane's state to the data plane.
+//! Publishes snapshots of control's state to traffic.
 
 use std::sync::Arc;
 
--- a/crates/azuresaddle-edge/src/control/published_targets.rs
+++ b/crates/azuresaddle-edge/src/control/published_targets.rs
@@ -10,7 +10,7 @@
 use super::target_record::TargetRecord;
 use crate::snapshot::TargetSet;
 
-/// The targets as published to the data plane and to other nodes; cheap to clone.
+/// The targets as published to traffic and to other nodes; cheap to clone.
 #[derive(Clone, Debug)]
 pub(super) struct PublishedTargets {
     /// Targets that accept new work.
--- a/crates/azuresaddle-edge/src/control/start_gate.rs
+++ b/crates/azuresaddle-edge/src/control/start_gate.rs
@@ -20,10 +20,10 @@
 
 /// Time after which a node with a configuration counts as settled, so that starting nodes fetch
 /// everything from it. Nodes that start together have nothing to offer each other, and hundreds of
-/// them would ask the first one.
+/// them would all fetch from the first one.
 const SETTLED_AFTER: Duration = Duration::from_secs(3);
 
-/// State of a starting node: whether it may put its first configuration in force.
+/// State of a starting node: whether it may activate its first configuration.
 #[derive(Debug, Default)]
 pub(super) struct StartGate {
     /// Whether it has fetched all targets from another node.
@@ -59,7 +59,7 @@
 }
 
 impl<N: Network> Control<N> {
-    /// Returns whether this node may put its first configuration in force.
+    /// Returns whether this node may activate its first configuration.
     pub(super) fn may_start_serving(&self, now: Instant, version: u64) -> bool {
         let age = now.saturating_duration_since(self.members.started_at);
         let view = PeerView {
--- a/crates/azuresaddle-edge/src/forward/reservations.rs
+++ b/crates/azuresaddle-edge/src/forward/reservations.rs
@@ -99,7 +99,7 @@
     send_to_all(&cx, &helpers, &name, &encode_release(&name)).await;
 }
 
-/// Sends one order to all helpers.
+/// Sends one request to all helpers.
 async fn send_to_all<N: Network>(
     cx: &Arc<Forwarder<N>>,
     helpers: &[Arc<TargetEntry>],
@@ -119,13 +119,13 @@
                 target = %helper.id,
                 reservation = name,
                 failure = %e,
-                "reservation order failed"
+                "reservation request failed"
             );
         }
     }
 }
 
-/// Sends one order and checks the answer.
+/// Sends a request that reserves or releases memory, and checks the answer.
 async fn send_request<N: Network>(
     cx: &Arc<Forwarder<N>>,
     target: &TargetEntry,
--- a/crates/azuresaddle-edge/src/forward/target_call.rs
+++ b/crates/azuresaddle-edge/src/forward/target_call.rs
@@ -1,4 +1,4 @@
-//! Calls that the node itself makes to targets, such as orders and reports.
+//! Calls that the node itself makes to targets, such as memory reservations and load reports.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/azuresaddle-edge/src/operator_endpoints.rs
+++ b/crates/azuresaddle-edge/src/operator_endpoints.rs
@@ -1,4 +1,4 @@
-//! HTTP endpoints for operators: metrics, service-level counts, and the quarantine, which they can end for a request.
+//! HTTP endpoints for operators: metrics, service-level counts, and the quarantine, which they can lift for a request.
 
 use std::sync::Arc;
 
@@ -22,7 +22,7 @@
 pub const BURN_PATH: &str = "/burn";
 
 /// Path of the list of quarantined requests, as JSON for `azuresaddle quarantine`. A `DELETE` of a fingerprint below it
-/// ends the quarantine of that request.
+/// lifts the quarantine of that request.
 pub const QUARANTINE_PATH: &str = "/quarantine";
 
 /// Content type of the metrics.
--- a/crates/azuresaddle-edge/src/peer/messages.rs
+++ b/crates/azuresaddle-edge/src/peer/messages.rs
@@ -11,7 +11,7 @@
 
 use crate::control::TargetUpdate;
 
-/// Asks the owner to place a stream. Times are relative, since the nodes' clocks differ.
+/// Requests the placement of a stream from the owner. Times are relative, since the nodes' clocks differ.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct PlaceMessage {
     pub(crate) id: PlacementId,
@@ -59,7 +59,7 @@
     },
 }
 
-/// Asks the owner whether a request may be sent to a plain target that has a rate limit.
+/// Requests a permit from the owner to send one request to a plain target that has a rate limit.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct PermitRequest {
     pub(crate) target: HostName,
--- a/crates/azuresaddle-edge/src/peer/service.rs
+++ b/crates/azuresaddle-edge/src/peer/service.rs
@@ -12,7 +12,7 @@
 pub(crate) trait EdgePeer {
     /// Requests engines for a stream. Answers when the stream may be sent or is refused.
     async fn place(message: PlaceMessage) -> PlaceReply;
-    /// Asks whether a request may be sent to a plain target that has a rate limit.
+    /// Requests a permit to send one request to a plain target that has a rate limit.
     async fn permit(req: PermitRequest) -> PermitReply;
     /// Reports events of streams.
     async fn report(reports: Vec<StreamReport>);
--- a/crates/azuresaddle-edge/src/placement/client.rs
+++ b/crates/azuresaddle-edge/src/placement/client.rs
@@ -85,7 +85,7 @@
     next_number: AtomicU64,
     streams: Mutex<HashMap<PlacementId, StreamState>>,
     reports: mpsc::Sender<StreamReport>,
-    /// Incremented when the connection to the owner is found dead, so that requests on it are repeated.
+    /// Incremented when the connection to the owner turns out to be broken, so that requests on it are repeated.
     reconnects: watch::Sender<u64>,
     /// Sends the incarnation of an owner that does not answer to control.
     unresponsive_owners: mpsc::Sender<u64>,
--- a/crates/azuresaddle-edge/src/placement/owner_state.rs
+++ b/crates/azuresaddle-edge/src/placement/owner_state.rs
@@ -59,7 +59,7 @@
     pub(super) until: Instant,
 }
 
-/// Placeholder in [`Handover::unsynced`] for nodes that a node has not heard of yet since its start.
+/// Placeholder in [`Handover::unsynced`] for nodes that this node has not discovered yet since its start.
 const UNKNOWN_NODE: u64 = 0;
 
 impl Handover {
--- a/crates/azuresaddle-edge/src/placement/reporter.rs
+++ b/crates/azuresaddle-edge/src/placement/reporter.rs
@@ -18,7 +18,7 @@
 /// Time for which reports are collected into a batch; a fraction of a pass.
 const BATCH_DELAY: Duration = Duration::from_millis(3);
 
-/// Longest wait for the owner to accept a message: a hundred usual round trips, and the time to the first
+/// Longest wait for the owner to accept a message: a hundred typical round trips, and the time to the first
 /// event of a short prompt. After it the owner is reported as unresponsive.
 const MESSAGE_TIMEOUT: Duration = Duration::from_millis(300);
 
--- a/crates/azuresaddle-edge/src/signals.rs
+++ b/crates/azuresaddle-edge/src/signals.rs
@@ -18,8 +18,8 @@
     pub(crate) sent_at: Instant,
     /// When the answer was received.
     pub(crate) received_at: Instant,
-    /// Whether the target served a request. Only then a missing header means that a signal ended: failures, reports and
-    /// orders may lack the headers for other reasons.
+    /// Whether the target served a request. Only then a missing header means that a signal ended: failures, load
+    /// reports and memory reservations may lack the headers for other reasons.
     pub(crate) is_served: bool,
     pub(crate) signals: TargetSignals,
 }
--- a/crates/azuresaddle-edge/src/targets/health.rs
+++ b/crates/azuresaddle-edge/src/targets/health.rs
@@ -12,7 +12,7 @@
 
 use super::back_offs::BackOffs;
 
-/// Age after which a load that a target reported is no longer used.
+/// Age after which the load that a target reported is no longer used.
 const MAX_LOAD_AGE: Duration = Duration::from_millis(300);
 
 /// Time for which a target that refused a request is avoided; it may request a longer back-off.
--- a/crates/azuresaddle-node/src/traffic/run_job.rs
+++ b/crates/azuresaddle-node/src/traffic/run_job.rs
@@ -156,7 +156,7 @@
     }
 }
 
-/// What the owner has to know of an order that was not run.
+/// What is reported to the owner about an attempt that the target did not start.
 fn report_kind(e: &EngineError, placement: &Placement) -> ReportKind {
     // Lent memory may be held by the other targets, so only a single target's refusal is final.
     match e {
--- a/crates/azuresaddle-sched/src/fair_clock.rs
+++ b/crates/azuresaddle-sched/src/fair_clock.rs
@@ -46,7 +46,8 @@
         self.now = self.now.max(tag.start);
     }
 
-    /// Resets all accounts when the queue is empty: nobody waits, so nobody is at a disadvantage.
+    /// Resets all accounts when the queue is empty: without waiting requests no account is at a
+    /// disadvantage.
     pub(crate) fn on_idle(&mut self) {
         self.finish.clear();
     }
--- a/crates/azuresaddle-sched/src/passes/engine.rs
+++ b/crates/azuresaddle-sched/src/passes/engine.rs
@@ -22,7 +22,7 @@
 /// errors of the estimate.
 const PAUSE_SHARE: f64 = 0.72;
 
-/// Longest pass, in pauses, for streams that are late already. Nodes consider a target dead after a
+/// Longest pass, in pauses, for streams that are late already. Nodes give up on a target after a
 /// silence of nearly twice that.
 const MAX_STALL_PAUSES: f64 = 3.5;
 
--- a/crates/azuresaddle-sched/src/passes/pool/load.rs
+++ b/crates/azuresaddle-sched/src/passes/pool/load.rs
@@ -1,7 +1,7 @@
 //! Load of a pool, as it would be reported to nodes that choose between pools.
 //!
-//! The product has one pool per service; simulations use this figure to compare that with several
-//! pools.
+//! In production each service has one pool; simulations use this figure to compare that with
+//! several pools.
 
 use std::time::Duration;
 
--- a/crates/azuresaddle-sched/src/passes/pool/refusals.rs
+++ b/crates/azuresaddle-sched/src/passes/pool/refusals.rs
@@ -71,8 +71,8 @@
 
     /// Returns the retry delay if so many short prompts wait that a new one would be late.
     ///
-    /// Only those ahead in the queue count, so an account that floods the queue crowds out nobody
-    /// else.
+    /// Only those ahead in the queue count, so an account that floods the queue does not crowd out
+    /// other accounts.
     pub(super) fn crowd_retry_after(
         &self,
         now: Instant,
--- a/crates/azuresaddle-sched/src/pool/dispatch.rs
+++ b/crates/azuresaddle-sched/src/pool/dispatch.rs
@@ -12,7 +12,7 @@
 use crate::reservation_request::ReservationRequest;
 use crate::target::{Target, TargetKey};
 
-/// Maximum number of waiting requests of a class that are tried in one pass over the queue.
+/// Maximum number of waiting requests of a class that are tried in one scan of the queue.
 const MAX_TRIED: usize = 32;
 
 /// Fraction of the reference rate below which a target counts as slow.
@@ -252,7 +252,7 @@
     (1..=sizes.len()).find(|n| sizes[n - 1] as f64 * share >= needed.div_ceil(*n as u64) as f64)
 }
 
-/// Targets available to a class in one pass over its queue.
+/// Targets available to a class in one scan of its queue.
 struct ClassTargets {
     candidates: Vec<TargetKey>,
     /// Number of further targets that the class may use.
--- a/crates/azuresaddle-store/src/claims.rs
+++ b/crates/azuresaddle-store/src/claims.rs
@@ -210,7 +210,7 @@
         added.then(|| self.outcomes(records))
     }
 
-    /// The outcome for each record, depending on who holds its key.
+    /// The outcome for each record, depending on which request holds its key.
     fn outcomes(&self, records: &[ClaimRecord]) -> Vec<ClaimOutcome> {
         let by_key: BTreeMap<_, _> = self.claims.iter().map(|c| (&c.claim, c)).collect();
         let outcome = |record: &ClaimRecord| match by_key.get(&record.claim) {
--- a/crates/azuresaddle-store/src/http_store.rs
+++ b/crates/azuresaddle-store/src/http_store.rs
@@ -15,7 +15,7 @@
     GetResponse, GrantLeaseRequest, GrantLeaseResponse, LeaseState, PutRequest, PutResponse,
 };
 
-/// Time allowed for the response to a watch beyond the wait that it asks for.
+/// Time allowed for the response to a watch beyond the wait that it requests.
 const WATCH_TIMEOUT_MARGIN: Duration = Duration::from_secs(1);
 
 /// Client of the platform's key-value store.
