--- a/crates/azuresaddle-edge/src/control/fetch.rs
+++ b/crates/azuresaddle-edge/src/control/fetch.rs
@@ -176,7 +176,7 @@
                 era = era.0,
                 "store rolled back to an older copy"
             );
-            self.metrics.store_returns.inc();
+            self.metrics.store_rollbacks.inc();
         }
     }
 }
--- a/crates/azuresaddle-edge/src/control/tests/crash_gossip.rs
+++ b/crates/azuresaddle-edge/src/control/tests/crash_gossip.rs
@@ -27,7 +27,7 @@
 /// A node's quarantine and its queue of crash updates.
 struct Node {
     quarantine: std::sync::Arc<SharedQuarantine>,
-    spread: CrashGossip,
+    gossip: CrashGossip,
 }
 
 /// Gossips three crashes, each seen by a different node. Returns the rounds until all nodes have
@@ -39,7 +39,7 @@
     let mut all: Vec<Node> = (0..nodes)
         .map(|_| Node {
             quarantine: SharedQuarantine::new(mpsc::channel(1).0, Metrics::new()),
-            spread: CrashGossip::default(),
+            gossip: CrashGossip::default(),
         })
         .collect();
     // Each crash is seen by a different node.
@@ -47,7 +47,7 @@
         let node = &mut all[usize::from(nodes) * n as usize / 3];
         let crash = crash(1, n);
         node.quarantine.learn_crash(crash);
-        node.spread.push(CrashUpdate::Crash(crash));
+        node.gossip.push(CrashUpdate::Crash(crash));
     }
     let request = Fingerprint::of(&[&[1]]);
     let knows = |n: &Node| n.quarantine.status(request).is_quarantined();
@@ -60,7 +60,7 @@
         fleet.round();
         let mut sent = Vec::new();
         for (node, members) in all.iter_mut().zip(&mut fleet.nodes) {
-            let updates = node.spread.next_round();
+            let updates = node.gossip.next_round();
             if updates.is_empty() {
                 continue;
             }
@@ -82,7 +82,7 @@
                     continue;
                 };
                 if node.quarantine.learn_crash(crash) == CrashStatus::New && nodes > 12 {
-                    node.spread.push(one);
+                    node.gossip.push(one);
                 }
             }
         }
@@ -101,13 +101,13 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_full_datagram_fits_and_each_update_is_sent_three_times() {
-    let mut spread = CrashGossip::default();
+    let mut gossip = CrashGossip::default();
     for n in 0..100 {
-        spread.push(CrashUpdate::Crash(crash(1, u64::MAX - n)));
+        gossip.push(CrashUpdate::Crash(crash(1, u64::MAX - n)));
     }
     let mut sent = 0;
     loop {
-        let round = spread.next_round();
+        let round = gossip.next_round();
         if round.is_empty() {
             break;
         }
@@ -123,12 +123,12 @@
 /// all its streams.
 #[tokio::test(start_paused = true)]
 async fn queued_updates_are_bounded() {
-    let mut spread = CrashGossip::default();
+    let mut gossip = CrashGossip::default();
     for n in 0..10_000 {
-        spread.push(CrashUpdate::Crash(crash(1, n)));
+        gossip.push(CrashUpdate::Crash(crash(1, n)));
     }
     let mut rounds = 0;
-    while !spread.next_round().is_empty() {
+    while !gossip.next_round().is_empty() {
         rounds += 1;
     }
     assert!(rounds <= 1024 * 3 / MAX_UPDATES + 1, "{rounds} rounds");
--- a/crates/azuresaddle-edge/src/control/tests/signals.rs
+++ b/crates/azuresaddle-edge/src/control/tests/signals.rs
@@ -16,7 +16,7 @@
 use crate::control::signals::{MAX_SIGNALS, SignalGossip};
 use crate::signals::{ObservedSignals, SignalUpdate};
 
-const BORN: TargetStart = TargetStart(1000);
+const STARTED: TargetStart = TargetStart(1000);
 
 fn limit(rate: f64) -> Option<RateLimit> {
     RateLimit::per_second(rate)
@@ -30,7 +30,7 @@
 fn observed(at: Instant, rate_limit: Option<RateLimit>) -> ObservedSignals {
     ObservedSignals {
         target: target(),
-        started: BORN,
+        started: STARTED,
         sent_at: at.checked_sub(Duration::from_millis(100)).unwrap(),
         received_at: at,
         is_served: true,
@@ -59,8 +59,8 @@
     assert_eq!(records.on_observed(&observed(later(10), limit(1.9))), []);
     // This request was sent before the limit was announced.
     assert_eq!(records.on_observed(&observed(later(50), None)), []);
-    let ended = records.on_observed(&observed(later(300), None));
-    assert_eq!(ended, [SignalChange::Unlimited]);
+    let changes = records.on_observed(&observed(later(300), None));
+    assert_eq!(changes, [SignalChange::Unlimited]);
 }
 
 #[tokio::test(start_paused = true)]
@@ -91,7 +91,7 @@
     let now = later(0);
     let update_with = |rate: Option<RateLimit>, age_ms| SignalUpdate {
         target: target(),
-        started: BORN,
+        started: STARTED,
         is_draining: false,
         rate_limit: rate,
         limit_age: Some(Duration::from_millis(age_ms)),
@@ -103,8 +103,8 @@
     );
     assert_eq!(records.on_gossip(now, &update_with(limit(10.0), 900)), []);
     assert_eq!(records.on_gossip(now, &update_with(None, 400)), []);
-    let ended = records.on_gossip(now, &update_with(None, 20));
-    assert_eq!(ended, [SignalChange::Unlimited]);
+    let changes = records.on_gossip(now, &update_with(None, 20));
+    assert_eq!(changes, [SignalChange::Unlimited]);
 }
 
 /// Announces a limit to one node and returns the rounds until all nodes know it.
@@ -126,8 +126,8 @@
         }
         fleet.round();
         let mut sent = Vec::new();
-        for ((records, spread), members) in all.iter_mut().zip(&mut fleet.nodes) {
-            let targets = spread.next_round();
+        for ((records, gossip), members) in all.iter_mut().zip(&mut fleet.nodes) {
+            let targets = gossip.next_round();
             let Some(update) = targets
                 .first()
                 .and_then(|t| records.update_for(fleet.now, t))
@@ -145,10 +145,10 @@
             if rng.random_bool(loss_rate) {
                 continue;
             }
-            let (records, spread) = &mut all[number(ip) - 1];
+            let (records, gossip) = &mut all[number(ip) - 1];
             let has_changed = !records.on_gossip(fleet.now, &update).is_empty();
             if nodes > 12 && records.should_gossip(fleet.now, &target(), has_changed) {
-                spread.push(target());
+                gossip.push(target());
             }
         }
     }
--- a/crates/azuresaddle-edge/src/forward/tests/broken_sends.rs
+++ b/crates/azuresaddle-edge/src/forward/tests/broken_sends.rs
@@ -47,7 +47,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_target_that_restarted_counts_as_ended() {
+async fn a_target_that_restarted_counts_as_crashed() {
     for later in [target("i-1", 1, 6), target("i-2", 1, 7)] {
         let (broken_sends, fingerprint) = broken();
         assert!(
@@ -64,7 +64,7 @@
 
 /// A draining target accepts no new work and is removed from the set, but has not crashed.
 #[tokio::test(start_paused = true)]
-async fn a_missing_target_does_not_count_as_ended() {
+async fn a_missing_target_does_not_count_as_crashed() {
     let (broken_sends, _) = broken();
     assert!(
         broken_sends
--- a/crates/azuresaddle-edge/src/metrics.rs
+++ b/crates/azuresaddle-edge/src/metrics.rs
@@ -73,7 +73,7 @@
     pub(crate) nodes: Gauge,
     pub(crate) is_owner: Gauge,
     pub(crate) store_failures: Counter,
-    pub(crate) store_returns: Counter,
+    pub(crate) store_rollbacks: Counter,
     fetches: Family<FetchLabels, Counter>,
     pub(crate) owner_claims: Counter,
     pub(crate) quarantines: Counter,
@@ -98,7 +98,7 @@
             nodes: Gauge::default(),
             is_owner: Gauge::default(),
             store_failures: Counter::default(),
-            store_returns: Counter::default(),
+            store_rollbacks: Counter::default(),
             fetches: Family::default(),
             owner_claims: Counter::default(),
             quarantines: Counter::default(),
@@ -151,7 +151,7 @@
         let help = "Times that the store stopped answering";
         r.register("store_failures", help, self.store_failures.clone());
         let help = "Times that the store came back from an older copy";
-        r.register("store_returns", help, self.store_returns.clone());
+        r.register("store_returns", help, self.store_rollbacks.clone());
         let help = "Fetches of what other nodes know of the targets, by scope";
         r.register("target_fetches", help, self.fetches.clone());
         let help = "Times that this node claimed to place streams: the first of a fleet, or after a silent owner";
--- a/crates/azuresaddle-sched/tests/suite/evidence.rs
+++ b/crates/azuresaddle-sched/tests/suite/evidence.rs
@@ -45,14 +45,14 @@
 async fn a_request_that_crashes_most_of_its_targets_is_quarantined() {
     let now = Instant::now();
     let mut quarantine = Quarantine::default();
-    let mut ended = 0;
+    let mut crashed = 0;
     while !quarantine.status(now, request(1)).is_quarantined() {
-        if ended % 4 == 1 {
-            quarantine.on_successful_run(now, successful_run(1, ended));
+        if crashed % 4 == 1 {
+            quarantine.on_successful_run(now, successful_run(1, crashed));
         }
-        quarantine.on_crash(now, crash(1, ended));
-        ended += 1;
-        assert!(ended <= 6, "{ended} targets ended");
+        quarantine.on_crash(now, crash(1, crashed));
+        crashed += 1;
+        assert!(crashed <= 6, "{crashed} targets crashed");
     }
 }
 
@@ -61,14 +61,14 @@
 async fn the_number_of_crashes_before_quarantine_is_bounded() {
     let now = Instant::now();
     let mut quarantine = Quarantine::default();
-    let mut ended = 0;
+    let mut crashed = 0;
     while !quarantine.status(now, request(1)).is_quarantined() {
         for run in 0..20 {
-            quarantine.on_successful_run(now, successful_run(1, 20 * ended + run));
+            quarantine.on_successful_run(now, successful_run(1, 20 * crashed + run));
         }
-        quarantine.on_crash(now, crash(1, ended));
-        ended += 1;
-        assert!(ended <= 16, "{ended} targets ended");
+        quarantine.on_crash(now, crash(1, crashed));
+        crashed += 1;
+        assert!(crashed <= 16, "{crashed} targets crashed");
     }
 }
 
@@ -172,10 +172,10 @@
     let now = Instant::now();
     let mut quarantine = with_crashes(now, 1);
     quarantine.on_successful_run(now, successful_run(1, 1));
-    let mut ended = 1;
+    let mut crashed = 1;
     while !quarantine.status(now, request(1)).is_quarantined() {
-        quarantine.on_crash(now, crash(1, 10 + ended));
-        ended += 1;
-        assert!(ended <= 6, "{ended} targets ended");
+        quarantine.on_crash(now, crash(1, 10 + crashed));
+        crashed += 1;
+        assert!(crashed <= 6, "{crashed} targets crashed");
     }
 }
--- a/crates/azuresaddle-sched/tests/suite/passes/suspects.rs
+++ b/crates/azuresaddle-sched/tests/suite/passes/suspects.rs
@@ -92,7 +92,7 @@
     for crash in 0..3 {
         let at = now + Duration::from_millis(200 * crash);
         let mut placed = Vec::new();
-        let mut ended = None;
+        let mut crashed_engine = None;
         for n in 0..10 {
             let crashes = quarantine.crashes_of(fingerprint(n)).len();
             let request = PlacementRequest {
@@ -105,14 +105,14 @@
             // All are requested at the same time; some find no engine of their own.
             let grant = place(&mut pool, at, request);
             if n == cause {
-                ended = grant.as_ref().map(|g| g.lead.clone());
+                crashed_engine = grant.as_ref().map(|g| g.lead.clone());
             }
             placed.extend(grant.map(|g| (n, number, g.lead)));
             number += 1;
         }
-        let ended = ended.expect("the first one finds an engine");
+        let crashed_engine = crashed_engine.expect("the first one finds an engine");
         for (n, number, lead) in placed {
-            if lead == ended {
+            if lead == crashed_engine {
                 quarantine.observe_crash(at, fingerprint(n), crash, at);
             }
             pool.end(at, id(number), &StreamOutcome::Cancelled);
@@ -123,8 +123,8 @@
         }
     }
     for n in 0..10 {
-        let standing = quarantine.status(now + Duration::from_secs(1), fingerprint(n));
-        assert_eq!(standing.is_quarantined(), n == cause, "request {n}");
+        let status = quarantine.status(now + Duration::from_secs(1), fingerprint(n));
+        assert_eq!(status.is_quarantined(), n == cause, "request {n}");
     }
 }
 
