--- a/crates/azuresaddle-edge/src/control/tests/members.rs
+++ b/crates/azuresaddle-edge/src/control/tests/members.rs
@@ -299,13 +299,13 @@
     }
     fleet.advance(Duration::from_secs(5));
     let now = fleet.now;
-    let mut asking = |at| {
+    let mut count_watching = |at| {
         let all = fleet.nodes.iter_mut();
         all.filter_map(|m| m.should_watch(at).then_some(())).count()
     };
-    assert_eq!(asking(now), 16);
+    assert_eq!(count_watching(now), 16);
     // 64 nodes, plus a few that do not know all nodes ranked above them.
-    let most = asking(now + Duration::from_secs(2));
+    let most = count_watching(now + Duration::from_secs(2));
     assert!((64..=70).contains(&most), "{most}");
 }
 
--- a/crates/azuresaddle-edge/src/control/tests/store_model/mod.rs
+++ b/crates/azuresaddle-edge/src/control/tests/store_model/mod.rs
@@ -81,8 +81,8 @@
 /// Set `AZURESADDLE_SERIES=N` to run more sequences.
 #[test]
 fn all_nodes_converge_to_the_store_and_none_regresses() {
-    let asked = std::env::var("AZURESADDLE_SERIES").ok();
-    let cases = asked.and_then(|n| n.parse().ok()).unwrap_or(CASES);
+    let requested = std::env::var("AZURESADDLE_SERIES").ok();
+    let cases = requested.and_then(|n| n.parse().ok()).unwrap_or(CASES);
     let result = runner(cases).run(&event_sequences(), |(seed, events)| {
         run(seed, &events, Without::Nothing).map_err(TestCaseError::fail)
     });
--- a/crates/azuresaddle-edge/src/control/tests/target_record.rs
+++ b/crates/azuresaddle-edge/src/control/tests/target_record.rs
@@ -16,7 +16,7 @@
     Draining,
     Removed,
     Restarted,
-    WentBack(usize),
+    RolledBack(usize),
 }
 
 fn change() -> impl Strategy<Value = Change> {
@@ -25,7 +25,7 @@
         2 => Just(Change::Draining),
         2 => Just(Change::Removed),
         1 => Just(Change::Restarted),
-        2 => (0..5_usize).prop_map(Change::WentBack),
+        2 => (0..5_usize).prop_map(Change::RolledBack),
     ]
 }
 
@@ -40,7 +40,7 @@
     for change in changes {
         let position = StorePosition::new(StoreEra(era), revision + 1);
         match change {
-            Change::WentBack(steps) => {
+            Change::RolledBack(steps) => {
                 era += 1;
                 log.truncate(log.len().saturating_sub(*steps));
                 revision = log.len() as u64;
--- a/crates/azuresaddle-sched/tests/suite/quarantine.rs
+++ b/crates/azuresaddle-sched/tests/suite/quarantine.rs
@@ -74,12 +74,12 @@
     let second = Duration::from_secs(1);
     for n in 0..3 {
         let sent_at = now + 2 * second * n;
-        let ended_at = sent_at + second;
-        let crash = quarantine.observe_crash(ended_at, request(1), 7, sent_at);
+        let crashed_at = sent_at + second;
+        let crash = quarantine.observe_crash(crashed_at, request(1), 7, sent_at);
         assert_eq!(crash.map(|c| u32::from(c.target.number)), Some(n));
         // Another copy of the request was on the same target when it crashed.
         assert_eq!(
-            quarantine.observe_crash(ended_at, request(1), 7, sent_at),
+            quarantine.observe_crash(crashed_at, request(1), 7, sent_at),
             None
         );
     }
