--- a/crates/azuresaddle-core/src/rules/then.rs
+++ b/crates/azuresaddle-core/src/rules/then.rs
@@ -17,8 +17,8 @@
     /// Target time to the first token, in milliseconds after the request's arrival, not counting
     /// the time that the prefill itself takes.
     pub first_token_target_ms: u64,
-    /// Time limit for the whole request, in milliseconds after its arrival. A caller may ask for a
-    /// shorter one, but not for a longer one.
+    /// Time limit for the whole request, in milliseconds after its arrival. A caller may request
+    /// a shorter one, but not a longer one.
     pub deadline_ms: u64,
     /// Share of the client account under contention, relative to others.
     pub weight: f64,
--- a/crates/azuresaddle-edge/src/control/gossip.rs
+++ b/crates/azuresaddle-edge/src/control/gossip.rs
@@ -183,7 +183,7 @@
         self.gossip_peers()
     }
 
-    /// Random hosts that receive what should spread at once.
+    /// Random hosts that receive changes to be gossiped at once.
     pub(super) fn gossip_peers(&mut self) -> Vec<Ipv4Addr> {
         let mut all: Vec<&MemberState> = self.members.values().map(|m| &m.state).collect();
         all.sort_unstable_by_key(|n| n.ip);
--- a/crates/azuresaddle-edge/src/control/target_record.rs
+++ b/crates/azuresaddle-edge/src/control/target_record.rs
@@ -1,6 +1,6 @@
 //! A target's entry as a mergeable record: nodes that exchange records converge.
 //!
-//! A store that goes back to an older copy loses changes and reuses their revisions. So neither the
+//! A store that is rolled back to an older copy loses changes and reuses their revisions. So neither the
 //! latest revision nor the latest answer of the store is authoritative. What counts is the latest
 //! entry that the target itself wrote, and whether the store has removed it since, in its latest
 //! era.
--- a/crates/azuresaddle-edge/src/control/tests/store_model/nodes.rs
+++ b/crates/azuresaddle-edge/src/control/tests/store_model/nodes.rs
@@ -136,7 +136,7 @@
         served >= Some(Duration::from_secs(3))
     }
 
-    /// Puts the latest configuration that a node has read in force, if the start gate admits it.
+    /// Activates the latest configuration that a node has read, if the start gate admits it.
     pub(super) fn apply_configuration(&mut self, n: usize) -> Result<(), String> {
         let others = || (0..self.nodes.len()).filter(|m| *m != n);
         let newest = others().map(|m| self.nodes[m].configuration).max();
--- a/crates/azuresaddle-node/src/traffic/answers.rs
+++ b/crates/azuresaddle-node/src/traffic/answers.rs
@@ -88,7 +88,7 @@
             })
     }
 
-    /// Tells the pool's owner that this node now reads the stream, so that the owner does not
+    /// Reports to the pool's owner that this node now reads the stream, so that the owner does not
     /// cancel it when the previous node is found to have failed.
     fn report_take_over(&self, placement: &Placement) {
         let take_over = TakeOver {
--- a/crates/azuresaddle-node/src/traffic/run_job.rs
+++ b/crates/azuresaddle-node/src/traffic/run_job.rs
@@ -114,7 +114,7 @@
                     _ => RelayError::TargetFailed(e.to_string()),
                 });
             }
-            // The start order may have arrived: the relay then reads the stream that it started
+            // The start request may have arrived: the relay then reads the stream that it started
             // instead of starting another one.
             Err(_) => None,
         };
--- a/crates/azuresaddle-node/src/traffic/start_stream.rs
+++ b/crates/azuresaddle-node/src/traffic/start_stream.rs
@@ -10,7 +10,7 @@
 use crate::engine::{EngineError, EngineStream};
 
 impl<N: Network> Traffic<N> {
-    /// Holds memory on the other reserved targets, then starts the stream on the lead target.
+    /// Reserves memory on the other targets of the placement, then starts the stream on the lead target.
     ///
     /// `prior` holds the tokens that the caller already has from earlier attempts.
     pub(super) async fn start_stream(
@@ -36,7 +36,7 @@
         let lends = others
             .iter()
             .map(|(_, addr)| self.engines.lend(*addr, &lend));
-        // Holding memory does not start the request, so after a failure here it has not run.
+        // Reserving memory does not start the request, so after a failure here it has not run.
         try_join_all(lends)
             .await
             .map_err(|e| EngineError::Refused(e.to_string()))?;
