--- a/crates/azuresaddle-standin/src/cmd/args.rs
+++ b/crates/azuresaddle-standin/src/cmd/args.rs
@@ -59,13 +59,13 @@
 }
 
 /// Prints a line of results; a closed pipe ends the output, not the process.
-pub(crate) fn say(line: &str) {
+pub(crate) fn print_line(line: &str) {
     use std::io::Write;
     let _ = writeln!(std::io::stdout(), "{line}");
 }
 
 /// Serves until the process is told to stop.
-pub(crate) async fn until_stopped() -> Result<()> {
+pub(crate) async fn wait_for_shutdown() -> Result<()> {
     tokio::signal::ctrl_c().await?;
     Ok(())
 }
--- a/crates/azuresaddle-standin/src/cmd/engine.rs
+++ b/crates/azuresaddle-standin/src/cmd/engine.rs
@@ -8,7 +8,7 @@
 use azuresaddle_standin::engine::{EngineOptions, EngineServer};
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
 
-use super::args::{get, listen, runtime, say, until_stopped};
+use super::args::{get, listen, print_line, runtime, wait_for_shutdown};
 
 pub(crate) fn make_subcommand() -> Command {
     Command::new("engine")
@@ -74,7 +74,7 @@
         let engine = EngineServer::bind(&TcpNetwork, addr, &spawner, options, incarnation)
             .await
             .with_context(|| format!("--listen {addr}"))?;
-        say(&format!("engine on {}", engine.addr()));
-        until_stopped().await
+        print_line(&format!("engine on {}", engine.addr()));
+        wait_for_shutdown().await
     })
 }
--- a/crates/azuresaddle-standin/src/cmd/experiment.rs
+++ b/crates/azuresaddle-standin/src/cmd/experiment.rs
@@ -8,7 +8,7 @@
 };
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
 
-use super::args::say;
+use super::args::print_line;
 
 pub(crate) fn make_subcommand() -> Command {
     Command::new("experiment")
@@ -57,7 +57,7 @@
 pub(crate) fn execute(args: &ArgMatches) -> Result<()> {
     let mix = read_mix(args)?;
     if args.get_flag("print-mix") {
-        say(&serde_json::to_string_pretty(&mix)?);
+        print_line(&serde_json::to_string_pretty(&mix)?);
         return Ok(());
     }
     let experiment: Experiment = super::args::get(args, "NAME");
@@ -74,7 +74,7 @@
             .with_context(|| format!("--plot {}", path.display()))?;
     }
     if args.get_flag("json") {
-        say(&serde_json::to_string_pretty(&rows)?);
+        print_line(&serde_json::to_string_pretty(&rows)?);
     } else {
         print_table(&rows);
     }
@@ -103,8 +103,8 @@
     for row in rows {
         if row.variant != variant {
             variant = &row.variant;
-            say(&format!("\n{variant}"));
-            say(&format!(
+            print_line(&format!("\n{variant}"));
+            print_line(&format!(
                 "{:<18} {:>4} {:>8} {:>8} {:>8} {:>8} {:>9} {:>9} {:>8} {:>9} {:>7} {:>7} {:>6} {:>6}",
                 "policy",
                 "seed",
@@ -123,7 +123,7 @@
             ));
         }
         let wrong = row.lost + row.doubled + u64::from(row.memory_left > 0);
-        say(&format!(
+        print_line(&format!(
             "{:<18} {:>4} {:>8.1} {:>8.1} {:>8.1} {:>8.3} {:>9.1} {:>9.2} {:>8.2} {:>9.1} {:>7} {:>7} {:>6} {:>6}",
             row.policy,
             row.seed,
@@ -141,10 +141,10 @@
             wrong,
         ));
     }
-    say(
+    print_line(
         "\ns: prompts of up to 8192 tokens; l: longer ones; hol: s.p95 over s.p95 of the same short",
     );
-    say(
+    print_line(
         "prompts alone; l.slow95: first token over that on an empty engine; wrong: lost, doubled, leaks",
     );
 }
--- a/crates/azuresaddle-standin/src/cmd/hosts.rs
+++ b/crates/azuresaddle-standin/src/cmd/hosts.rs
@@ -9,7 +9,7 @@
 use azuresaddle_standin::hosts::HostListServer;
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
 
-use super::args::{get, listen, runtime, say, until_stopped};
+use super::args::{get, listen, print_line, runtime, wait_for_shutdown};
 
 pub(crate) fn make_subcommand() -> Command {
     Command::new("hosts")
@@ -62,8 +62,8 @@
         let list = HostListServer::bind(&TcpNetwork, addr, &Spawner::current(), hosts, lag)
             .await
             .with_context(|| format!("--listen {addr}"))?;
-        say(&format!("host list on {}", list.addr()));
-        until_stopped().await
+        print_line(&format!("host list on {}", list.addr()));
+        wait_for_shutdown().await
     })
 }
 
--- a/crates/azuresaddle-standin/src/cmd/load.rs
+++ b/crates/azuresaddle-standin/src/cmd/load.rs
@@ -10,7 +10,7 @@
 use azuresaddle_standin::load::{LoadPlan, LoadReport, Step, run_load};
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
 
-use super::args::{get, runtime, say, seed};
+use super::args::{get, print_line, runtime, seed};
 
 pub(crate) fn make_subcommand() -> Command {
     Command::new("load")
@@ -107,7 +107,7 @@
         let http = HttpClient::new(TcpNetwork, Spawner::current());
         run_load(&http, &nodes, &plan, |_| {}).await
     });
-    say(&report.to_string());
+    print_line(&report.to_string());
     ensure!(report.is_sound(), "an answer was lost, crossed or doubled");
     Ok(())
 }
--- a/crates/azuresaddle-standin/src/cmd/passes.rs
+++ b/crates/azuresaddle-standin/src/cmd/passes.rs
@@ -8,7 +8,7 @@
 };
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
 
-use super::args::say;
+use super::args::print_line;
 
 pub(crate) fn make_subcommand() -> Command {
     Command::new("passes")
@@ -91,7 +91,7 @@
         std::fs::write(path, svg).with_context(|| format!("--plot {}", path.display()))?;
     }
     if args.get_flag("json") {
-        say(&serde_json::to_string_pretty(&rows)?);
+        print_line(&serde_json::to_string_pretty(&rows)?);
     } else {
         print_table(&rows);
     }
@@ -99,7 +99,7 @@
 }
 
 fn print_table(rows: &[Vec<DayResults>]) {
-    say(&format!(
+    print_line(&format!(
         "{:<16} {:>6} {:>6} {:>7} {:>6}   on time / served / largest tenth served / first event p50 p95, by kind",
         "policy", "worth", "day", "windows", "held",
     ));
@@ -132,6 +132,6 @@
                 mean(&|d| d.kinds[k].first_event_ms[1]),
             ));
         }
-        say(&line);
+        print_line(&line);
     }
 }
--- a/crates/azuresaddle-standin/src/cmd/service.rs
+++ b/crates/azuresaddle-standin/src/cmd/service.rs
@@ -6,7 +6,7 @@
 use azuresaddle_standin::service::ServiceServer;
 use clap::{ArgMatches, Command};
 
-use super::args::{get, listen, runtime, say, until_stopped};
+use super::args::{get, listen, print_line, runtime, wait_for_shutdown};
 
 pub(crate) fn make_subcommand() -> Command {
     Command::new("service")
@@ -20,7 +20,7 @@
         let service = ServiceServer::bind(&TcpNetwork, addr, &Spawner::current())
             .await
             .with_context(|| format!("--listen {addr}"))?;
-        say(&format!("service on {}", service.addr()));
-        until_stopped().await
+        print_line(&format!("service on {}", service.addr()));
+        wait_for_shutdown().await
     })
 }
--- a/crates/azuresaddle-standin/src/cmd/soak.rs
+++ b/crates/azuresaddle-standin/src/cmd/soak.rs
@@ -7,7 +7,7 @@
 use azuresaddle_standin::soak::{FaultOptions, FleetOptions, SoakOptions, run_soak};
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
 
-use super::args::{get, say};
+use super::args::{get, print_line};
 
 pub(crate) fn make_subcommand() -> Command {
     Command::new("soak")
@@ -85,7 +85,7 @@
     let first: u64 = get(args, "seed");
     let seeds: u64 = get(args, "seeds");
     let dir: PathBuf = get(args, "dir");
-    let mut bad = Vec::new();
+    let mut failed_seeds = Vec::new();
     for seed in first..first + seeds {
         let options = SoakOptions {
             program: get(args, "program"),
@@ -105,13 +105,13 @@
             crashers: get(args, "crashers"),
         };
         let report = runtime.block_on(run_soak(&options))?;
-        say(report.to_string().trim_end());
+        print_line(report.to_string().trim_end());
         if !report.is_good() {
-            bad.push(seed);
+            failed_seeds.push(seed);
         }
     }
-    if !bad.is_empty() {
-        bail!("promises broken with the seeds {bad:?}");
+    if !failed_seeds.is_empty() {
+        bail!("promises broken with the seeds {failed_seeds:?}");
     }
     Ok(())
 }
