--- a/crates/azuresaddle-standin/src/capacity/idle.rs
+++ b/crates/azuresaddle-standin/src/capacity/idle.rs
@@ -46,7 +46,7 @@
         let spec = ClusterSpec::uniform(nodes, engines, 0, &EngineOptions::default());
         let cluster = Cluster::open(MemoryHosts::default(), spec, |_| {}).await?;
         tokio::time::sleep(WARM_UP).await;
-        let (before, bytes) = (cluster.store.counts(), cluster.places.fabric.bytes());
+        let (before, bytes) = (cluster.store.counts(), cluster.networks.fabric.bytes());
         let started = WallInstant::now();
         tokio::time::sleep(Duration::from_secs(MEASUREMENT_S)).await;
         let cpu = started.elapsed();
@@ -55,7 +55,7 @@
         Ok(IdleCost {
             nodes,
             engines,
-            bytes: each(cluster.places.fabric.bytes() - bytes),
+            bytes: each(cluster.networks.fabric.bytes() - bytes),
             watches: each(after.watches - before.watches),
             lease_writes: each(after.lease_writes - before.lease_writes),
             reads: each(after.reads - before.reads),
--- a/crates/azuresaddle-standin/src/cluster/placement.rs
+++ b/crates/azuresaddle-standin/src/cluster/networks.rs
@@ -10,22 +10,22 @@
 use crate::net::{Fabric, MemoryNetwork};
 
 /// Gives each host its network.
-pub trait Places {
+pub trait HostNetworks {
     /// The network.
     type Net: Network;
 
     /// The network as a host sees it, and the host's address; the same for the same name.
-    fn place(&self, host: &str) -> (Self::Net, IpAddr);
+    fn host_network(&self, host: &str) -> (Self::Net, IpAddr);
 }
 
 /// All hosts on the loopback address.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Loopback;
 
-impl Places for Loopback {
+impl HostNetworks for Loopback {
     type Net = TcpNetwork;
 
-    fn place(&self, _: &str) -> (TcpNetwork, IpAddr) {
+    fn host_network(&self, _: &str) -> (TcpNetwork, IpAddr) {
         (TcpNetwork, IpAddr::V4(Ipv4Addr::LOCALHOST))
     }
 }
@@ -48,10 +48,10 @@
     }
 }
 
-impl Places for MemoryHosts {
+impl HostNetworks for MemoryHosts {
     type Net = MemoryNetwork;
 
-    fn place(&self, host: &str) -> (MemoryNetwork, IpAddr) {
+    fn host_network(&self, host: &str) -> (MemoryNetwork, IpAddr) {
         let ip = self.ip(host);
         (self.fabric.host(ip), ip)
     }
--- a/crates/azuresaddle-standin/src/cluster/spec.rs
+++ b/crates/azuresaddle-standin/src/cluster/spec.rs
@@ -85,7 +85,7 @@
     }
 
     /// Spreads the hosts of each kind over failure domains `d1`… in turn.
-    pub fn over_domains(mut self, count: usize) -> Self {
+    pub fn spread_over_domains(mut self, count: usize) -> Self {
         let domain = |i: usize| FailureDomain::new(format!("d{}", i % count.max(1) + 1));
         for (i, node) in self.nodes.iter_mut().enumerate() {
             node.domain = domain(i);
--- a/crates/azuresaddle-standin/src/cluster/system.rs
+++ b/crates/azuresaddle-standin/src/cluster/system.rs
@@ -11,7 +11,7 @@
 use azuresaddle_node::settings::{NodeAddrs, Settings};
 use tokio::runtime::Handle;
 
-use super::placement::Places;
+use super::networks::HostNetworks;
 use super::spec::{ClusterSpec, EngineSpec, HostSpec, ServiceSpec};
 use crate::engine::EngineServer;
 use crate::hosts::HostListServer;
@@ -38,9 +38,9 @@
 }
 
 /// A running system.
-pub struct Cluster<P: Places> {
+pub struct Cluster<P: HostNetworks> {
     /// Networks of the hosts.
-    pub places: P,
+    pub networks: P,
     /// The key-value service.
     pub store: StoreServer,
     /// The host list.
@@ -51,29 +51,33 @@
     pub services: BTreeMap<HostName, ServiceServer>,
     /// Nodes by name; killed ones are left out.
     pub nodes: BTreeMap<HostName, NodeHost>,
-    tune: fn(&mut Settings),
+    adjust_settings: fn(&mut Settings),
 }
 
-impl<P: Places> Cluster<P> {
-    /// Starts all parts; `tune` changes the nodes' settings.
+impl<P: HostNetworks> Cluster<P> {
+    /// Starts all parts; `adjust_settings` changes the nodes' settings.
     ///
     /// # Errors
     /// Where a part can't be started.
-    pub async fn open(places: P, spec: ClusterSpec, tune: fn(&mut Settings)) -> Result<Self> {
-        let (net, ip) = places.place("store");
+    pub async fn open(
+        networks: P,
+        spec: ClusterSpec,
+        adjust_settings: fn(&mut Settings),
+    ) -> Result<Self> {
+        let (net, ip) = networks.host_network("store");
         let store = StoreServer::bind(&net, any_port(ip), &Spawner::current()).await?;
-        let (net, ip) = places.place("hosts");
+        let (net, ip) = networks.host_network("hosts");
         let lag = spec.host_list_lag;
         let hosts =
             HostListServer::bind(&net, any_port(ip), &Spawner::current(), Vec::new(), lag).await?;
         let mut cluster = Self {
-            places,
+            networks,
             store,
             hosts,
             engines: BTreeMap::new(),
             services: BTreeMap::new(),
             nodes: BTreeMap::new(),
-            tune,
+            adjust_settings,
         };
         for engine in spec.engines {
             cluster.start_engine(engine, Incarnation(1), None).await?;
@@ -93,7 +97,7 @@
         incarnation: Incarnation,
         addr: Option<SocketAddr>,
     ) -> Result<()> {
-        let (net, ip) = self.places.place(spec.name.as_str());
+        let (net, ip) = self.networks.host_network(spec.name.as_str());
         let spawner = Spawner::current();
         let addr = addr.unwrap_or_else(|| any_port(ip));
         let options = spec.options.clone();
@@ -123,7 +127,7 @@
     }
 
     async fn start_service(&mut self, spec: ServiceSpec) -> Result<()> {
-        let (net, ip) = self.places.place(spec.name.as_str());
+        let (net, ip) = self.networks.host_network(spec.name.as_str());
         let server = ServiceServer::bind(&net, any_port(ip), &Spawner::current()).await?;
         self.hosts.put(Host {
             name: spec.name.clone(),
@@ -139,7 +143,7 @@
     }
 
     async fn start_node(&mut self, spec: HostSpec) -> Result<()> {
-        let (net, ip) = self.places.place(spec.name.as_str());
+        let (net, ip) = self.networks.host_network(spec.name.as_str());
         let addrs = NodeAddrs {
             listen: any_port(ip),
             peer_listen: any_port(ip),
@@ -150,7 +154,7 @@
         let mut settings = Settings::new(spec.name.as_str(), spec.domain.as_str(), addrs);
         // The in-memory network has no loopback address to tell apart.
         settings.admin_token = Some(ADMIN_TOKEN.to_owned());
-        (self.tune)(&mut settings);
+        (self.adjust_settings)(&mut settings);
         let spawner = Spawner::current();
         let node = Node::open(settings, net, spawner.clone(), Handle::current())
             .await
@@ -216,7 +220,7 @@
 
     /// An HTTP client on a host of its own.
     pub fn client(&self, host: &str) -> HttpClient<P::Net> {
-        let (net, _) = self.places.place(host);
+        let (net, _) = self.networks.host_network(host);
         HttpClient::new(net, Spawner::current())
     }
 
--- a/tests/testsuite/bad_input.rs
+++ b/tests/testsuite/bad_input.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use azuresaddle_core::prelude::*;
-use azuresaddle_standin::cluster::{Cluster, ClusterSpec, MemoryHosts, Places};
+use azuresaddle_standin::cluster::{Cluster, ClusterSpec, HostNetworks, MemoryHosts};
 use azuresaddle_standin::engine::EngineOptions;
 use http_body_util::{BodyExt, Full};
 use hyper::Request;
@@ -96,7 +96,7 @@
 
 /// Sends raw bytes to a node and reads what comes until the connection ends.
 async fn send_raw(cluster: &Cluster<MemoryHosts>, bytes: &[u8]) -> String {
-    let (net, _) = cluster.places.place("caller");
+    let (net, _) = cluster.networks.host_network("caller");
     let mut stream = net.connect(cluster.seeds()[0]).await.expect("connects");
     stream.write_all(bytes).await.expect("writes");
     let mut answer = String::new();
--- a/tests/testsuite/scenario/arguments.rs
+++ b/tests/testsuite/scenario/arguments.rs
@@ -27,7 +27,7 @@
     );
     ClusterSpec {
         host_list_lag: time(args, "list-lag"),
-        ..spec.over_domains(count("domains"))
+        ..spec.spread_over_domains(count("domains"))
     }
 }
 
--- a/tests/testsuite/scenario/world/hosts.rs
+++ b/tests/testsuite/scenario/world/hosts.rs
@@ -50,11 +50,14 @@
     /// Cuts two hosts off from each other; `all` stands for every other host.
     pub(in crate::scenario) fn set_cut(&mut self, one: &str, other: &str, cut: bool) {
         for other in self.others(one, other) {
-            let (a, b) = (self.cluster.places.ip(one), self.cluster.places.ip(&other));
+            let (a, b) = (
+                self.cluster.networks.ip(one),
+                self.cluster.networks.ip(&other),
+            );
             if cut {
-                self.cluster.places.fabric.cut(a, b);
+                self.cluster.networks.fabric.cut(a, b);
             } else {
-                self.cluster.places.fabric.heal(a, b);
+                self.cluster.networks.fabric.heal(a, b);
             }
         }
         if other == "all" {
@@ -64,8 +67,11 @@
 
     pub(in crate::scenario) fn silence(&self, one: &str, other: &str) {
         for other in self.others(one, other) {
-            let (a, b) = (self.cluster.places.ip(one), self.cluster.places.ip(&other));
-            self.cluster.places.fabric.silence(a, b);
+            let (a, b) = (
+                self.cluster.networks.ip(one),
+                self.cluster.networks.ip(&other),
+            );
+            self.cluster.networks.fabric.silence(a, b);
         }
     }
 
