--- a/crates/azuresaddle-standin/src/engine/server.rs
+++ b/crates/azuresaddle-standin/src/engine/server.rs
@@ -24,7 +24,7 @@
 use super::options::EngineOptions;
 use super::run::spawn_loops;
 use super::sender::Sender;
-use crate::http_util::{bad, query, read_json};
+use crate::http_util::{bad_request, query_param, read_json};
 
 /// Longest body, in bytes.
 const MAX_BODY_BYTES: usize = 64 << 20;
@@ -176,11 +176,11 @@
             }
             (&Method::GET, ["v1", "streams", id]) => {
                 let id = stream_id(id)?;
-                let after = query(&req, "after")
+                let after = query_param(&req, "after")
                     .and_then(|n| n.parse().ok())
                     .unwrap_or(0);
-                let node = HostName::new(query(&req, "node").unwrap_or_default());
-                let take_over = query(&req, "take-over").as_deref() == Some("true");
+                let node = HostName::new(query_param(&req, "node").unwrap_or_default());
+                let take_over = query_param(&req, "take-over").as_deref() == Some("true");
                 let resumed = shared.model().resume(id, after, &node, take_over);
                 Ok(self.respond(id, after, resumed.map_err(rejected)?))
             }
@@ -199,7 +199,7 @@
             }
             (&Method::GET, ["v1", "load"]) => Ok(json(StatusCode::OK, &*shared.load())),
             (&Method::GET, ["v1", "cache"]) => {
-                let after = query(&req, "after")
+                let after = query_param(&req, "after")
                     .and_then(|n| n.parse().ok())
                     .unwrap_or(0);
                 let gap = shared.faults().cache_gap_every;
@@ -216,7 +216,7 @@
                 };
                 Ok(json(StatusCode::OK, &listing))
             }
-            _ => Err(bad("unknown path")),
+            _ => Err(bad_request("unknown path")),
         }
     }
 
@@ -235,9 +235,9 @@
             std::future::pending::<()>().await;
         }
         let fence = FencingToken {
-            pool: query(req, "pool").unwrap_or_default(),
+            pool: query_param(req, "pool").unwrap_or_default(),
             epoch: Epoch(
-                query(req, "epoch")
+                query_param(req, "epoch")
                     .and_then(|n| n.parse().ok())
                     .unwrap_or(0),
             ),
@@ -298,7 +298,7 @@
 }
 
 fn stream_id(text: &str) -> Result<StreamId, Problem> {
-    text.parse().map_err(|_| bad("bad stream id"))
+    text.parse().map_err(|_| bad_request("bad stream id"))
 }
 
 async fn read<T: DeserializeOwned>(req: Request<Incoming>) -> Result<T, Problem> {
--- a/crates/azuresaddle-standin/src/hosts/mod.rs
+++ b/crates/azuresaddle-standin/src/hosts/mod.rs
@@ -12,7 +12,7 @@
 use hyper::{Method, Request, Response, StatusCode};
 use tokio::time::Instant;
 
-use crate::http_util::{bad, query, read_json};
+use crate::http_util::{bad_request, query_param, read_json};
 
 /// Longest body, in bytes.
 const MAX_BODY_BYTES: usize = 64 << 10;
@@ -127,10 +127,10 @@
                 self.list.remove(&HostName::new(name));
             }
             (Method::PUT, ["v1", "hosts", name, "leaving"]) => {
-                let leaving = query(&req, "value").as_deref() != Some("false");
+                let leaving = query_param(&req, "value").as_deref() != Some("false");
                 self.list.set_leaving(&HostName::new(name), leaving);
             }
-            _ => return Err(bad("unknown path")),
+            _ => return Err(bad_request("unknown path")),
         }
         let list = lock(&self.list.shared).seen(Instant::now());
         Ok(json(StatusCode::OK, &list))
--- a/crates/azuresaddle-standin/src/http_util.rs
+++ b/crates/azuresaddle-standin/src/http_util.rs
@@ -13,12 +13,12 @@
 use serde::de::DeserializeOwned;
 
 /// A request that makes no sense.
-pub(crate) fn bad(detail: impl Into<String>) -> Problem {
+pub(crate) fn bad_request(detail: impl Into<String>) -> Problem {
     Problem::bad_request(detail)
 }
 
 /// The value of a query parameter.
-pub(crate) fn query(req: &Request<Incoming>, name: &str) -> Option<String> {
+pub(crate) fn query_param(req: &Request<Incoming>, name: &str) -> Option<String> {
     let mut pairs = req
         .uri()
         .query()?
@@ -37,8 +37,8 @@
 ) -> Result<T, Problem> {
     let bytes = read_limited(req.into_body(), limit, timeout)
         .await
-        .map_err(|e| bad(e.to_string()))?;
-    serde_json::from_slice(&bytes).map_err(|e| bad(e.to_string()))
+        .map_err(|e| bad_request(e.to_string()))?;
+    serde_json::from_slice(&bytes).map_err(|e| bad_request(e.to_string()))
 }
 
 /// Longest wait for a small answer.
--- a/crates/azuresaddle-standin/src/service/mod.rs
+++ b/crates/azuresaddle-standin/src/service/mod.rs
@@ -11,7 +11,7 @@
 use hyper::{Method, Request, Response, StatusCode};
 use serde::{Deserialize, Serialize};
 
-use crate::http_util::{bad, read_json};
+use crate::http_util::{bad_request, read_json};
 
 /// Longest body, in bytes.
 const MAX_BODY_BYTES: usize = 1 << 20;
@@ -154,9 +154,11 @@
                     .headers()
                     .get("x-request-id")
                     .and_then(|v| v.to_str().ok());
-                let id = id.ok_or_else(|| bad("x-request-id is missing"))?.to_owned();
+                let id = id
+                    .ok_or_else(|| bad_request("x-request-id is missing"))?
+                    .to_owned();
                 let body = read_limited(req.into_body(), MAX_BODY_BYTES, BODY_TIMEOUT).await;
-                let body = body.map_err(|e| bad(e.to_string()))?;
+                let body = body.map_err(|e| bad_request(e.to_string()))?;
                 let body = String::from_utf8_lossy(&body).into_owned();
                 Ok(json(StatusCode::OK, &self.service.execute(id, body).await))
             }
--- a/crates/azuresaddle-standin/src/store/server.rs
+++ b/crates/azuresaddle-standin/src/store/server.rs
@@ -18,7 +18,7 @@
 
 use super::faults::StoreFaults;
 use super::model::{CallCounts, StoreModel};
-use crate::http_util::{bad, query};
+use crate::http_util::{bad_request, query_param};
 
 /// Largest value, in bytes, and some room for its wrapping.
 const MAX_BODY_BYTES: usize = (1 << 20) + 4096;
@@ -133,7 +133,7 @@
         tokio::time::sleep(delay).await;
         match (req.method().clone(), segments.as_slice()) {
             (Method::GET, ["v1", "keys"]) => {
-                let key = query(&req, "key").ok_or_else(|| bad("key is missing"))?;
+                let key = query_param(&req, "key").ok_or_else(|| bad_request("key is missing"))?;
                 let entry = self.shared.model().get(&key);
                 Ok(json(StatusCode::OK, &GetResponse { entry }))
             }
@@ -156,12 +156,12 @@
                 Ok(json(StatusCode::OK, &LeaseState { alive }))
             }
             (Method::GET, ["v1", "watch"]) => self.watch(&req).await,
-            _ => Err(bad("unknown path")),
+            _ => Err(bad_request("unknown path")),
         }
     }
 
     async fn put(&self, req: Request<Incoming>) -> Result<Response<Body>, Problem> {
-        let key = query(&req, "key").ok_or_else(|| bad("key is missing"))?;
+        let key = query_param(&req, "key").ok_or_else(|| bad_request("key is missing"))?;
         let PutRequest { value, expected } = read(req).await?;
         let result = self.shared.model().compare_and_swap(&key, value, expected);
         if result.is_ok() {
@@ -177,8 +177,8 @@
     }
 
     async fn watch(&self, req: &Request<Incoming>) -> Result<Response<Body>, Problem> {
-        let prefix = query(req, "prefix").unwrap_or_default();
-        let number = |name| query(req, name).and_then(|text| text.parse().ok());
+        let prefix = query_param(req, "prefix").unwrap_or_default();
+        let number = |name| query_param(req, name).and_then(|text| text.parse().ok());
         let after = Revision(number("after").unwrap_or(0));
         let wait = Duration::from_millis(number("wait-ms").unwrap_or(0)).min(MAX_WATCH_WAIT);
         self.shared.model().counts.watches += 1;
@@ -210,7 +210,9 @@
 }
 
 fn lease_id(text: &str) -> Result<LeaseId, Problem> {
-    text.parse().map(LeaseId).map_err(|_| bad("bad lease id"))
+    text.parse()
+        .map(LeaseId)
+        .map_err(|_| bad_request("bad lease id"))
 }
 
 async fn read<T: DeserializeOwned>(req: Request<Incoming>) -> Result<T, Problem> {
