--- a/crates/azuresaddle-standin/src/passes/simulation/rate_limits.rs
+++ b/crates/azuresaddle-standin/src/passes/simulation/rate_limits.rs
@@ -11,7 +11,7 @@
 use tokio::time::Instant;
 
 use super::Simulation;
-use crate::limit_check::{SETTLE, allowed, most_in_a_span};
+use crate::rate_limit_check::{ADJUSTMENT_TIME, max_requests_in_window, peak_requests_in_window};
 
 impl Simulation<'_> {
     pub(super) fn change_rate_limits(&mut self, at_ms: f64) {
@@ -43,7 +43,7 @@
             return 0.0;
         };
         let seconds = Duration::from_secs_f64;
-        let held = seconds(limited.span.from_s) + SETTLE..seconds(limited.span.to_s);
+        let held = seconds(limited.span.from_s) + ADJUSTMENT_TIME..seconds(limited.span.to_s);
         let most = self
             .received_at_ms
             .iter()
@@ -51,8 +51,8 @@
             .map(|received_at_ms| {
                 let arrivals = received_at_ms.iter().map(|ms| seconds(ms / 1000.0));
                 let arrivals: Vec<Duration> = arrivals.filter(|at| held.contains(at)).collect();
-                most_in_a_span(&arrivals)
+                peak_requests_in_window(&arrivals)
             });
-        most.max().unwrap_or(0) as f64 / allowed(limited.requests_per_s) as f64
+        most.max().unwrap_or(0) as f64 / max_requests_in_window(limited.requests_per_s) as f64
     }
 }
--- a/crates/azuresaddle-standin/src/soak/signal_checks.rs
+++ b/crates/azuresaddle-standin/src/soak/signal_checks.rs
@@ -7,8 +7,8 @@
 
 use super::callers::Shared;
 use super::signals::{Log, SignalFault, Signalled, Struck, Told};
-use crate::limit_check::{SETTLE, allowed, most_in_a_span};
 use crate::platform::ArrivedRequest;
+use crate::rate_limit_check::{ADJUSTMENT_TIME, max_requests_in_window, peak_requests_in_window};
 
 /// Time after which a node that has relayed a signal follows it.
 const HEARD: Duration = Duration::from_millis(500);
@@ -53,15 +53,15 @@
     let end = signalled.ended.unwrap_or_else(Instant::now);
     let counted: Vec<Duration> = arrivals
         .iter()
-        .filter(|a| (signalled.began + SETTLE..end).contains(&a.at))
+        .filter(|a| (signalled.began + ADJUSTMENT_TIME..end).contains(&a.at))
         .filter(|a| {
             let told = first_told(log, signalled, a, |t| t.signals.rate_limit.is_some());
             told.is_some_and(|at| at + HEARD <= a.at && !is_excused(log, signalled, a, at))
         })
         .map(|a| a.at - signalled.began)
         .collect();
-    let most = most_in_a_span(&counted);
-    let allowed = allowed(rate);
+    let most = peak_requests_in_window(&counted);
+    let allowed = max_requests_in_window(rate);
     (most > allowed).then(|| format!("{most} requests in 4 s of {allowed}"))
 }
 
--- a/tests/testsuite/platform/signals.rs
+++ b/tests/testsuite/platform/signals.rs
@@ -2,8 +2,10 @@
 
 use std::time::Duration;
 
-use azuresaddle_standin::limit_check::{SETTLE, SPAN, allowed, most_in_a_span};
 use azuresaddle_standin::platform::{Asked, Signals, TargetHandle};
+use azuresaddle_standin::rate_limit_check::{
+    ADJUSTMENT_TIME, WINDOW, max_requests_in_window, peak_requests_in_window,
+};
 use azuresaddle_standin::soak::Fleet;
 use tokio::time::Instant;
 
@@ -16,7 +18,7 @@
         .filter(|at| *at >= from)
         .map(|at| at - from)
         .collect();
-    most_in_a_span(&arrivals)
+    peak_requests_in_window(&arrivals)
 }
 
 /// Asks all nodes side by side for a while; statuses of the answers.
@@ -106,10 +108,20 @@
     }
     let named_at = Instant::now();
     let asked = || stream("/ask/1", 1500, 2);
-    let statuses = load(&fleet, SETTLE + SPAN * 2, Duration::from_millis(60), asked).await;
+    let statuses = load(
+        &fleet,
+        ADJUSTMENT_TIME + WINDOW * 2,
+        Duration::from_millis(60),
+        asked,
+    )
+    .await;
     for engine in &fleet.world.engines[..2] {
-        let most = most_since(engine, named_at + SETTLE);
-        assert!(most <= allowed(rate), "{most} of {}", allowed(rate));
+        let most = most_since(engine, named_at + ADJUSTMENT_TIME);
+        assert!(
+            most <= max_requests_in_window(rate),
+            "{most} of {}",
+            max_requests_in_window(rate)
+        );
     }
     // The others have room for all.
     assert!(statuses.iter().all(|s| *s == 200), "{statuses:?}");
@@ -122,9 +134,19 @@
     fleet.world.plain[0].set_signals(limited(rate));
     let named_at = Instant::now();
     let asked = || plain("/post/1");
-    let statuses = load(&fleet, SETTLE + SPAN * 2, Duration::from_millis(60), asked).await;
-    let most = most_since(&fleet.world.plain[0], named_at + SETTLE);
-    assert!(most <= allowed(rate), "{most} of {}", allowed(rate));
+    let statuses = load(
+        &fleet,
+        ADJUSTMENT_TIME + WINDOW * 2,
+        Duration::from_millis(60),
+        asked,
+    )
+    .await;
+    let most = most_since(&fleet.world.plain[0], named_at + ADJUSTMENT_TIME);
+    assert!(
+        most <= max_requests_in_window(rate),
+        "{most} of {}",
+        max_requests_in_window(rate)
+    );
     assert!(statuses.iter().all(|s| *s == 200), "{statuses:?}");
 }
 
@@ -136,9 +158,9 @@
         target.set_signals(limited(rate));
     }
     let asked = || plain("/post/1");
-    load(&fleet, SETTLE, Duration::from_millis(100), asked).await;
+    load(&fleet, ADJUSTMENT_TIME, Duration::from_millis(100), asked).await;
     let began = Instant::now();
-    let statuses = load(&fleet, SPAN * 2, Duration::from_millis(100), asked).await;
+    let statuses = load(&fleet, WINDOW * 2, Duration::from_millis(100), asked).await;
     let served = statuses.iter().filter(|s| **s == 200).count() as f64;
     let offered = rate * fleet.world.plain.len() as f64 * began.elapsed().as_secs_f64();
     assert!(served >= offered * 0.7, "{served} of {offered}");
@@ -150,7 +172,11 @@
     assert!(statuses.len() >= 120, "{}", statuses.len());
     for target in &fleet.world.plain {
         let most = most_since(target, began);
-        assert!(most <= allowed(rate), "{most} of {}", allowed(rate));
+        assert!(
+            most <= max_requests_in_window(rate),
+            "{most} of {}",
+            max_requests_in_window(rate)
+        );
     }
 }
 
@@ -160,9 +186,9 @@
     let target = &fleet.world.plain[0];
     let asked = || plain("/post/1");
     target.set_signals(limited(1.0));
-    load(&fleet, SETTLE, Duration::from_millis(60), asked).await;
+    load(&fleet, ADJUSTMENT_TIME, Duration::from_millis(60), asked).await;
     target.set_signals(Signals::default());
-    load(&fleet, SETTLE, Duration::from_millis(60), asked).await;
+    load(&fleet, ADJUSTMENT_TIME, Duration::from_millis(60), asked).await;
     let share = share_of_crowd(&fleet, target, Duration::from_millis(60), asked).await;
     assert!(share >= LEAST_SHARE, "{share}");
 }
