--- a/crates/azuresaddle-standin/src/engine/cache.rs
+++ b/crates/azuresaddle-standin/src/engine/cache.rs
@@ -17,7 +17,7 @@
 
 impl PrefixCache {
     /// Leading blocks of a prompt that are cached.
-    pub(super) fn cached(&self, prefix: &[u64]) -> usize {
+    pub(super) fn cached_prefix_blocks(&self, prefix: &[u64]) -> usize {
         let hit = |block: &&u64| self.blocks.contains(block);
         prefix.iter().take_while(hit).count()
     }
--- a/crates/azuresaddle-standin/src/engine/faults.rs
+++ b/crates/azuresaddle-standin/src/engine/faults.rs
@@ -42,7 +42,7 @@
     }
 }
 
-/// Whether a fault strikes the event with this number.
-pub(super) fn strikes(every: u64, number: u64) -> bool {
+/// Whether a fault that occurs once every so many events affects the event with this number.
+pub(super) fn is_affected(every: u64, number: u64) -> bool {
     every > 0 && number % every == every - 1
 }
--- a/crates/azuresaddle-standin/src/engine/run.rs
+++ b/crates/azuresaddle-standin/src/engine/loops.rs
@@ -22,15 +22,15 @@
 async fn run_prefills(shared: &Shared) {
     loop {
         let queued = shared.queued.notified();
-        let next = shared.model().begin_prefill();
-        let Some((id, took)) = next else {
+        let next = shared.state().begin_prefill();
+        let Some((id, duration)) = next else {
             queued.await;
             continue;
         };
-        let prefill = tokio::time::sleep(took.mul_f64(shared.faults().slowdown));
+        let prefill = tokio::time::sleep(duration.mul_f64(shared.faults().slowdown));
         tokio::select! {
-            () = prefill => shared.model().end_prefill(id),
-            () = cancelled(shared, id) => {}
+            () = prefill => shared.state().end_prefill(id),
+            () = until_removed(shared, id) => {}
         }
         shared.queued.notify_waiters();
         shared.decoding.notify_one();
@@ -38,10 +38,10 @@
 }
 
 /// Waits until a stream is gone.
-async fn cancelled(shared: &Shared, id: StreamId) {
+async fn until_removed(shared: &Shared, id: StreamId) {
     loop {
         let stopped = shared.cancelled.notified();
-        if !shared.model().streams.contains_key(&id) {
+        if !shared.state().streams.contains_key(&id) {
             return;
         }
         stopped.await;
@@ -50,40 +50,40 @@
 
 async fn run_steps(shared: &Shared) {
     loop {
-        if shared.model().decoding() == 0 {
+        if shared.state().decoding_streams() == 0 {
             shared.decoding.notified().await;
             continue;
         }
         let step = {
-            let model = shared.model();
-            let others = model.decoding().saturating_sub(1) as f64;
-            let factor = 1.0 + model.options.batch_slowdown * others;
-            model.options.decode_step.mul_f64(factor)
+            let state = shared.state();
+            let others = state.decoding_streams().saturating_sub(1) as f64;
+            let factor = 1.0 + state.options.batch_slowdown * others;
+            state.options.decode_step.mul_f64(factor)
         };
         tokio::time::sleep(step.mul_f64(shared.faults().slowdown)).await;
-        shared.model().step(Instant::now());
+        shared.state().step(Instant::now());
     }
 }
 
 /// Keeps the load report as old as its lag.
 async fn refresh_load(shared: &Shared) {
     loop {
-        let report = shared.load_now();
-        let lag = shared.model().options.load_lag;
+        let report = shared.current_load();
+        let lag = shared.state().options.load_lag;
         tokio::time::sleep(lag.max(Duration::from_millis(1))).await;
         *shared.load() = report;
     }
 }
 
 impl Shared {
-    pub(super) fn load_now(&self) -> LoadReport {
-        let model = self.model();
+    pub(super) fn current_load(&self) -> LoadReport {
+        let state = self.state();
         LoadReport {
             incarnation: self.incarnation,
-            memory_tokens: model.options.memory_tokens,
-            used_tokens: model.used(),
-            streams: model.live().len() as u64,
-            cache_sequence: model.cache.sequence(),
+            memory_tokens: state.options.memory_tokens,
+            used_tokens: state.used_tokens(),
+            streams: state.live_streams().len() as u64,
+            cache_sequence: state.cache.sequence(),
         }
     }
 }
--- a/crates/azuresaddle-standin/src/engine/mod.rs
+++ b/crates/azuresaddle-standin/src/engine/mod.rs
@@ -8,11 +8,11 @@
 
 mod cache;
 mod faults;
-mod model;
+mod loops;
 mod options;
-mod run;
 mod sender;
 mod server;
+mod state;
 mod stream;
 
 pub use faults::EngineFaults;
--- a/crates/azuresaddle-standin/src/engine/sender.rs
+++ b/crates/azuresaddle-standin/src/engine/sender.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use tokio::sync::{Notify, mpsc};
 
-use super::faults::strikes;
+use super::faults::is_affected;
 use super::server::Shared;
 
 /// Interval of comment lines while no token is ready.
@@ -22,12 +22,12 @@
     next: u64,
     sent: u64,
     /// An event that comes late.
-    held: Option<Bytes>,
+    delayed: Option<Bytes>,
     tx: mpsc::Sender<Bytes>,
 }
 
 /// What a reader can be given now.
-enum Ready {
+enum NextEvent {
     Token(TokenEvent),
     Wait(Arc<Notify>),
     End,
@@ -48,19 +48,19 @@
             reader,
             next,
             sent: 0,
-            held: None,
+            delayed: None,
             tx,
         }
     }
 
     pub(super) async fn run(&mut self) {
         loop {
-            self.shared.silent().await;
-            let ready = self.ready();
-            let sent = match ready {
-                Ready::Token(event) => self.send(event).await,
-                Ready::Wait(changed) => self.wait(&changed).await,
-                Ready::End => false,
+            self.shared.hang_if_silent().await;
+            let next = self.next_event();
+            let sent = match next {
+                NextEvent::Token(event) => self.send(event).await,
+                NextEvent::Wait(changed) => self.wait(&changed).await,
+                NextEvent::End => false,
             };
             if !sent {
                 return;
@@ -68,16 +68,16 @@
         }
     }
 
-    fn ready(&mut self) -> Ready {
-        let mut model = self.shared.model();
-        let Some(stream) = model.streams.get_mut(&self.id) else {
-            return Ready::End;
+    fn next_event(&mut self) -> NextEvent {
+        let mut state = self.shared.state();
+        let Some(stream) = state.streams.get_mut(&self.id) else {
+            return NextEvent::End;
         };
         if stream.reader != self.reader || self.next >= stream.answer.tokens() {
-            return Ready::End;
+            return NextEvent::End;
         }
-        if self.next >= stream.ready {
-            return Ready::Wait(Arc::clone(&stream.changed));
+        if self.next >= stream.generated_tokens {
+            return NextEvent::Wait(Arc::clone(&stream.changed));
         }
         let event = TokenEvent {
             stream: self.id,
@@ -86,8 +86,8 @@
             last: self.next + 1 == stream.answer.tokens(),
         };
         self.next += 1;
-        stream.read = self.next;
-        Ready::Token(event)
+        stream.read_tokens = self.next;
+        NextEvent::Token(event)
     }
 
     async fn wait(&self, changed: &Notify) -> bool {
@@ -109,37 +109,37 @@
         if faults.break_after > 0 && number >= faults.break_after {
             return false;
         }
-        let bytes = lines(&event);
-        if strikes(faults.crossed_every, number) {
+        let bytes = encode_event(&event);
+        if is_affected(faults.crossed_every, number) {
             let mut other = event.clone();
             other.stream.request.0 ^= 1;
             other.token = "stray ".to_owned();
-            if self.tx.send(lines(&other)).await.is_err() {
+            if self.tx.send(encode_event(&other)).await.is_err() {
                 return false;
             }
         }
-        if strikes(faults.missing_every, number) && !event.last {
+        if is_affected(faults.missing_every, number) && !event.last {
             return true;
         }
-        if strikes(faults.late_every, number) && !event.last {
-            self.held = Some(bytes);
+        if is_affected(faults.late_every, number) && !event.last {
+            self.delayed = Some(bytes);
             return true;
         }
-        let twice = strikes(faults.doubled_every, number);
+        let twice = is_affected(faults.doubled_every, number);
         if twice && self.tx.send(bytes.clone()).await.is_err() {
             return false;
         }
         if self.tx.send(bytes).await.is_err() {
             return false;
         }
-        match self.held.take() {
+        match self.delayed.take() {
             Some(late) => self.tx.send(late).await.is_ok(),
             None => true,
         }
     }
 }
 
-fn lines(event: &TokenEvent) -> Bytes {
+fn encode_event(event: &TokenEvent) -> Bytes {
     let json = serde_json::to_string(event).expect("an event serializes");
     Bytes::from(format!("data: {json}\n\n"))
 }
--- a/crates/azuresaddle-standin/src/engine/server.rs
+++ b/crates/azuresaddle-standin/src/engine/server.rs
@@ -19,11 +19,11 @@
 use serde::de::DeserializeOwned;
 use tokio::sync::{Notify, mpsc};
 
-use super::faults::{EngineFaults, strikes};
-use super::model::{EngineModel, Rejection};
+use super::faults::{EngineFaults, is_affected};
+use super::loops::spawn_loops;
 use super::options::EngineOptions;
-use super::run::spawn_loops;
 use super::sender::Sender;
+use super::state::{EngineState, Rejection};
 use crate::http_util::{bad_request, query_param, read_json};
 
 /// Longest body, in bytes.
@@ -33,7 +33,7 @@
 const BODY_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Events that wait for a slow reader.
-const MAX_WAITING: usize = 16;
+const EVENT_QUEUE_LEN: usize = 16;
 
 /// A running engine.
 #[derive(Clone)]
@@ -43,7 +43,7 @@
 }
 
 pub(super) struct Shared {
-    model: Mutex<EngineModel>,
+    state: Mutex<EngineState>,
     faults: Mutex<EngineFaults>,
     load: Mutex<LoadReport>,
     pub(super) incarnation: Incarnation,
@@ -76,7 +76,7 @@
             cache_sequence: 0,
         };
         let shared = Arc::new(Shared {
-            model: Mutex::new(EngineModel::new(options)),
+            state: Mutex::new(EngineState::new(options)),
             faults: Mutex::default(),
             load: Mutex::new(load),
             incarnation,
@@ -110,23 +110,23 @@
 
     /// Memory held, in tokens.
     pub fn used_tokens(&self) -> u64 {
-        self.shared.model().used()
+        self.shared.state().used_tokens()
     }
 
     /// Number of streams that hold memory.
     pub fn live_streams(&self) -> usize {
-        self.shared.model().live().len()
+        self.shared.state().live_streams().len()
     }
 
     /// How often the prefill of each prompt began, by the prompt's digest.
     pub fn executions(&self) -> HashMap<u64, u64> {
-        self.shared.model().executions.clone()
+        self.shared.state().executions.clone()
     }
 }
 
 impl Shared {
-    pub(super) fn model(&self) -> MutexGuard<'_, EngineModel> {
-        lock(&self.model)
+    pub(super) fn state(&self) -> MutexGuard<'_, EngineState> {
+        lock(&self.state)
     }
 
     pub(super) fn faults(&self) -> EngineFaults {
@@ -137,7 +137,7 @@
         lock(&self.load)
     }
 
-    pub(super) async fn silent(&self) {
+    pub(super) async fn hang_if_silent(&self) {
         if self.faults().silent {
             std::future::pending::<()>().await;
         }
@@ -155,22 +155,22 @@
         let segments: Vec<&str> = path.trim_matches('/').split('/').collect();
         match (&method, segments.as_slice()) {
             (&Method::PUT, ["faults"]) => {
-                let faults: EngineFaults = read(req).await?;
+                let faults: EngineFaults = read_body(req).await?;
                 *lock(&self.shared.faults) = faults;
                 return Ok(json(StatusCode::OK, &faults));
             }
             (&Method::GET, ["counts"]) => {
-                return Ok(json(StatusCode::OK, &self.shared.model().executions));
+                return Ok(json(StatusCode::OK, &self.shared.state().executions));
             }
             _ => {}
         }
-        self.shared.silent().await;
+        self.shared.hang_if_silent().await;
         let shared = &self.shared;
         match (&method, segments.as_slice()) {
             (&Method::POST, ["v1", "streams"]) => {
-                let start: StartRequest = read(req).await?;
+                let start: Start = read_body(req).await?;
                 let (id, first) = (start.stream, start.prior.len() as u64);
-                let reader = shared.model().start(start).map_err(rejected)?;
+                let reader = shared.state().start(start).map_err(rejection_problem)?;
                 shared.queued.notify_waiters();
                 Ok(self.respond(id, first, reader))
             }
@@ -181,19 +181,19 @@
                     .unwrap_or(0);
                 let node = HostName::new(query_param(&req, "node").unwrap_or_default());
                 let take_over = query_param(&req, "take-over").as_deref() == Some("true");
-                let resumed = shared.model().resume(id, after, &node, take_over);
-                Ok(self.respond(id, after, resumed.map_err(rejected)?))
+                let resumed = shared.state().resume(id, after, &node, take_over);
+                Ok(self.respond(id, after, resumed.map_err(rejection_problem)?))
             }
             (&Method::DELETE, ["v1", "streams", id]) => self.cancel(&req, stream_id(id)?).await,
             (&Method::POST, ["v1", "lends"]) => {
-                let lend: LendRequest = read(req).await?;
-                shared.model().lend(lend).map_err(rejected)?;
+                let lend: Lend = read_body(req).await?;
+                shared.state().lend(lend).map_err(rejection_problem)?;
                 Ok(json(StatusCode::OK, &GoneReply { gone: false }))
             }
             (&Method::GET, ["v1", "streams"]) => {
                 let list = StreamList {
                     incarnation: shared.incarnation,
-                    streams: shared.model().live(),
+                    streams: shared.state().live_streams(),
                 };
                 Ok(json(StatusCode::OK, &list))
             }
@@ -203,16 +203,16 @@
                     .and_then(|n| n.parse().ok())
                     .unwrap_or(0);
                 let gap = shared.faults().cache_gap_every;
-                let mut events = shared.model().cache.events_after(after);
+                let mut events = shared.state().cache.events_after(after);
                 let seen = shared.load().cache_sequence;
-                events.retain(|e| e.sequence <= seen && !strikes(gap, e.sequence));
+                events.retain(|e| e.sequence <= seen && !is_affected(gap, e.sequence));
                 Ok(json(StatusCode::OK, &CacheChanges { events }))
             }
             (&Method::GET, ["v1", "cache", "listing"]) => {
-                let model = shared.model();
+                let state = shared.state();
                 let listing = CacheListing {
-                    sequence: model.cache.sequence(),
-                    blocks: model.cache.blocks(),
+                    sequence: state.cache.sequence(),
+                    blocks: state.cache.blocks(),
                 };
                 Ok(json(StatusCode::OK, &listing))
             }
@@ -242,17 +242,17 @@
                     .unwrap_or(0),
             ),
         };
-        let mut model = self.shared.model();
-        model.check_fence(&fence).map_err(rejected)?;
-        model.cancel(id);
-        drop(model);
+        let mut state = self.shared.state();
+        state.check_fence(&fence).map_err(rejection_problem)?;
+        state.cancel(id);
+        drop(state);
         self.shared.cancelled.notify_waiters();
         Ok(json(StatusCode::OK, &GoneReply { gone: true }))
     }
 
     /// Streams the events of one stream to one reader.
     fn respond(&self, id: StreamId, first: u64, reader: u64) -> Response<Body> {
-        let (tx, rx) = mpsc::channel(MAX_WAITING);
+        let (tx, rx) = mpsc::channel(EVENT_QUEUE_LEN);
         let shared = Arc::clone(&self.shared);
         self.shared.spawner.spawn(async move {
             let mut sender = Sender::new(&shared, id, reader, first, tx);
@@ -274,7 +274,7 @@
     }
 }
 
-fn rejected(rejection: Rejection) -> Problem {
+fn rejection_problem(rejection: Rejection) -> Problem {
     let (status, title, verdict) = match rejection {
         Rejection::Fenced => (
             StatusCode::PRECONDITION_FAILED,
@@ -301,7 +301,7 @@
     text.parse().map_err(|_| bad_request("bad stream id"))
 }
 
-async fn read<T: DeserializeOwned>(req: Request<Incoming>) -> Result<T, Problem> {
+async fn read_body<T: DeserializeOwned>(req: Request<Incoming>) -> Result<T, Problem> {
     read_json(req, MAX_BODY_BYTES, BODY_TIMEOUT).await
 }
 
--- a/crates/azuresaddle-standin/src/engine/model.rs
+++ b/crates/azuresaddle-standin/src/engine/state.rs
@@ -15,10 +15,10 @@
 use crate::answer::Answer;
 
 /// Tokens that a stream may be ahead of its reader.
-const MAX_UNREAD: u64 = 256;
+const MAX_UNREAD_TOKENS: u64 = 256;
 
 /// Time for which a finished stream is kept for readers.
-const KEPT_FINISHED: Duration = Duration::from_secs(20);
+const FINISHED_RETENTION: Duration = Duration::from_secs(20);
 
 /// Tokens of one cached block.
 const BLOCK_TOKENS: u64 = 1024;
@@ -35,7 +35,7 @@
 
 /// Streams, memory and cache of an engine.
 #[derive(Debug)]
-pub(super) struct EngineModel {
+pub(super) struct EngineState {
     pub(super) options: EngineOptions,
     pub(super) streams: BTreeMap<StreamId, Stream>,
     lends: BTreeMap<StreamId, LendRequest>,
@@ -43,10 +43,10 @@
     pub(super) cache: PrefixCache,
     /// How often the prefill of each prompt began, by the prompt's digest.
     pub(super) executions: HashMap<u64, u64>,
-    orders: u64,
+    accepted_streams: u64,
 }
 
-impl EngineModel {
+impl EngineState {
     pub(super) fn new(options: EngineOptions) -> Self {
         Self {
             options,
@@ -55,19 +55,19 @@
             fences: HashMap::new(),
             cache: PrefixCache::default(),
             executions: HashMap::new(),
-            orders: 0,
+            accepted_streams: 0,
         }
     }
 
     /// Memory held, in tokens.
-    pub(super) fn used(&self) -> u64 {
+    pub(super) fn used_tokens(&self) -> u64 {
         let streams = self.streams.values().filter(|s| s.holds_memory());
         let lent: u64 = self.lends.values().map(|l| l.memory_tokens).sum();
         streams.map(|s| s.memory_tokens).sum::<u64>() + lent
     }
 
     /// Streams that hold memory, lent memory included.
-    pub(super) fn live(&self) -> Vec<LiveStream> {
+    pub(super) fn live_streams(&self) -> Vec<LiveStream> {
         let streams = self.streams.iter().filter(|(_, s)| s.holds_memory());
         let streams = streams.map(|(id, s)| LiveStream {
             stream: *id,
@@ -115,21 +115,21 @@
             return Err(Rejection::Duplicate);
         }
         self.check_memory(start.memory_tokens)?;
-        self.orders += 1;
+        self.accepted_streams += 1;
         let first = start.prior.len() as u64;
         let stream = Stream {
             node: start.node,
             account: start.account,
             answer: Answer::new(&start.prompt, start.max_tokens),
             priority: start.priority,
-            order: self.orders,
+            arrival_number: self.accepted_streams,
             prompt_tokens: prompt_tokens(&start.prompt),
             prefix: prefix_hashes(&start.prompt),
             members: start.members.max(1),
             memory_tokens: start.memory_tokens,
             stage: Stage::Queued,
-            ready: first,
-            read: first,
+            generated_tokens: first,
+            read_tokens: first,
             reader: 1,
             changed: Default::default(),
         };
@@ -151,7 +151,7 @@
         }
         stream.node = node.clone();
         stream.reader += 1;
-        stream.read = after;
+        stream.read_tokens = after;
         stream.changed.notify_waiters();
         Ok(stream.reader)
     }
@@ -174,12 +174,12 @@
             .streams
             .iter()
             .filter(|(_, s)| s.stage == Stage::Queued);
-        let next = queued.max_by_key(|(_, s)| (s.priority, std::cmp::Reverse(s.order)));
+        let next = queued.max_by_key(|(_, s)| (s.priority, std::cmp::Reverse(s.arrival_number)));
         let id = next.map(|(id, _)| *id)?;
         let stream = self.streams.get_mut(&id)?;
         stream.stage = Stage::Prefilling;
         *self.executions.entry(stream.answer.digest()).or_default() += 1;
-        let cached = self.cache.cached(&stream.prefix) as u64 * BLOCK_TOKENS;
+        let cached = self.cache.cached_prefix_blocks(&stream.prefix) as u64 * BLOCK_TOKENS;
         let tokens = stream.prompt_tokens.saturating_sub(cached) as f64;
         let rate = self.options.prefill_rate * f64::from(stream.members);
         Some((id, Duration::from_secs_f64(tokens / rate)))
@@ -206,12 +206,13 @@
         for id in &ids {
             self.add_token(*id, now);
         }
-        let kept = |s: &Stream| !matches!(s.stage, Stage::Finished(at) if now - at > KEPT_FINISHED);
+        let kept =
+            |s: &Stream| !matches!(s.stage, Stage::Finished(at) if now - at > FINISHED_RETENTION);
         self.streams.retain(|_, s| kept(s));
         !ids.is_empty()
     }
 
-    pub(super) fn decoding(&self) -> usize {
+    pub(super) fn decoding_streams(&self) -> usize {
         let decoding = |s: &&Stream| s.stage == Stage::Decoding;
         self.streams.values().filter(decoding).count()
     }
@@ -220,13 +221,13 @@
         let Some(stream) = self.streams.get_mut(&id) else {
             return;
         };
-        if stream.ready < stream.answer.tokens() {
-            if stream.ready >= stream.read + MAX_UNREAD {
+        if stream.generated_tokens < stream.answer.tokens() {
+            if stream.generated_tokens >= stream.read_tokens + MAX_UNREAD_TOKENS {
                 return;
             }
-            stream.ready += 1;
+            stream.generated_tokens += 1;
         }
-        if stream.ready >= stream.answer.tokens() {
+        if stream.generated_tokens >= stream.answer.tokens() {
             stream.stage = Stage::Finished(now);
             self.lends.remove(&id);
         }
@@ -236,7 +237,7 @@
     }
 
     fn check_memory(&self, tokens: u64) -> Result<(), Rejection> {
-        if self.used() + tokens > self.options.memory_tokens {
+        if self.used_tokens() + tokens > self.options.memory_tokens {
             return Err(Rejection::NoMemory);
         }
         Ok(())
--- a/crates/azuresaddle-standin/src/engine/stream.rs
+++ b/crates/azuresaddle-standin/src/engine/stream.rs
@@ -15,16 +15,16 @@
     pub(super) account: ClientAccount,
     pub(super) answer: Answer,
     pub(super) priority: i8,
-    pub(super) order: u64,
+    pub(super) arrival_number: u64,
     pub(super) prompt_tokens: u64,
     pub(super) prefix: Vec<u64>,
     pub(super) members: u32,
     pub(super) memory_tokens: u64,
     pub(super) stage: Stage,
     /// Tokens that are ready to be read.
-    pub(super) ready: u64,
+    pub(super) generated_tokens: u64,
     /// Index of the next token that its reader has not taken.
-    pub(super) read: u64,
+    pub(super) read_tokens: u64,
     /// Number of the connection that reads it; older ones have to end.
     pub(super) reader: u64,
     /// Told when a token is ready or read.
