--- a/crates/azuresaddle-standin/src/cmd/load.rs
+++ b/crates/azuresaddle-standin/src/cmd/load.rs
@@ -7,7 +7,7 @@
 use azuresaddle_core::http::HttpClient;
 use azuresaddle_core::net::TcpNetwork;
 use azuresaddle_core::prelude::*;
-use azuresaddle_standin::load::{LoadPlan, LoadReport, Step, run_load};
+use azuresaddle_standin::load::{LoadPlan, LoadSummary, RequestProfile, run_load};
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
 
 use super::args::{get, print_line, runtime, seed};
@@ -77,25 +77,25 @@
         .flatten()
         .copied()
         .collect();
-    let steps = [
+    let profiles = [
         ("sabarmati", "short-rate", 1_000, 4_000),
         ("aguaclara", "long-rate", 20_000, 350_000),
         ("aguaclara", "huge-rate", 800_000, 1_000_000),
     ];
-    let step = |(account, rate, min_tokens, max_tokens)| Step {
+    let profile = |(account, rate, min_tokens, max_tokens)| RequestProfile {
         account: ClientAccount::new(account),
         rate: get(args, rate),
         min_tokens,
         max_tokens,
         kind: String::new(),
-        always_at: None,
+        extra_request_at: None,
     };
     let seconds = |name: &str| Duration::from_secs_f64(get::<f64>(args, name).max(0.0));
     let plan = LoadPlan {
         model: Model::new(get::<String>(args, "model")),
-        steps: steps
+        profiles: profiles
             .into_iter()
-            .map(step)
+            .map(profile)
             .filter(|s| s.rate > 0.0)
             .collect(),
         duration: seconds("seconds"),
@@ -103,7 +103,7 @@
         deadline: seconds("deadline-seconds"),
         seed: get(args, "seed"),
     };
-    let report: LoadReport = runtime()?.block_on(async {
+    let report: LoadSummary = runtime()?.block_on(async {
         let http = HttpClient::new(TcpNetwork, Spawner::current());
         run_load(&http, &nodes, &plan, |_| {}).await
     });
--- a/crates/azuresaddle-standin/src/demo/mod.rs
+++ b/crates/azuresaddle-standin/src/demo/mod.rs
@@ -8,7 +8,7 @@
 
 use crate::cluster::{Cluster, ClusterSpec, Loopback};
 use crate::engine::EngineOptions;
-use crate::load::{LoadPlan, LoadReport, Step, run_load};
+use crate::load::{LoadPlan, LoadSummary, RequestProfile, run_load};
 
 /// Number of nodes.
 const NODES: usize = 3;
@@ -23,15 +23,15 @@
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// How long requests are sent in each of the two parts.
-const PART_DURATION: Duration = Duration::from_secs(15);
+const PHASE_DURATION: Duration = Duration::from_secs(15);
 
 /// What the two parts of the demo measured.
 #[derive(Clone, Debug)]
 pub struct DemoResult {
     /// Short prompts alone.
-    pub alone: LoadReport,
+    pub alone: LoadSummary,
     /// Short and long prompts beside each other.
-    pub mixed: LoadReport,
+    pub mixed: LoadSummary,
 }
 
 impl DemoResult {
@@ -41,16 +41,16 @@
     }
 }
 
-/// Runs the demo; `say` gets lines of progress.
+/// Runs the demo; `report_progress` gets lines of progress.
 ///
 /// # Errors
 /// Where a part can't be started or the system does not settle.
-pub async fn run_demo(seed: u64, say: impl Fn(&str)) -> Result<DemoResult> {
+pub async fn run_demo(seed: u64, report_progress: impl Fn(&str)) -> Result<DemoResult> {
     let options = EngineOptions {
         decode_step: Duration::from_millis(10),
         ..EngineOptions::default()
     };
-    say(&format!(
+    report_progress(&format!(
         "starting {ENGINES} engines, a store, a host list and {NODES} nodes"
     ));
     let spec = ClusterSpec::uniform(NODES, ENGINES, 1, &options);
@@ -59,21 +59,27 @@
     let http = cluster.client("callers");
     let seeds = cluster.seeds();
     let short = [
-        step("sabarmati", 8.0, 1_000, 4_000),
-        step("aguaclara", 4.0, 1_000, 6_000),
+        profile("sabarmati", 8.0, 1_000, 4_000),
+        profile("aguaclara", 4.0, 1_000, 6_000),
     ];
-    say("short prompts alone");
+    report_progress("short prompts alone");
     let plan = plan(short.to_vec(), seed);
-    let alone = run_load(&http, &seeds, &plan, progress(&say)).await;
-    say("short prompts beside long ones, up to a million tokens");
-    let mut steps = short.to_vec();
-    steps.push(step("sabarmati", 0.8, 20_000, 200_000));
-    steps.push(step("aguaclara", 0.4, 200_000, 350_000));
-    steps.push(Step {
-        always_at: Some(PART_DURATION / 3),
-        ..step("aguaclara", 0.15, HUGE_TOKENS, 1_000_000)
+    let alone = run_load(&http, &seeds, &plan, progress_reporter(&report_progress)).await;
+    report_progress("short prompts beside long ones, up to a million tokens");
+    let mut profiles = short.to_vec();
+    profiles.push(profile("sabarmati", 0.8, 20_000, 200_000));
+    profiles.push(profile("aguaclara", 0.4, 200_000, 350_000));
+    profiles.push(RequestProfile {
+        extra_request_at: Some(PHASE_DURATION / 3),
+        ..profile("aguaclara", 0.15, HUGE_TOKENS, 1_000_000)
     });
-    let mixed = run_load(&http, &seeds, &self::plan(steps, seed + 1), progress(&say)).await;
+    let mixed = run_load(
+        &http,
+        &seeds,
+        &self::plan(profiles, seed + 1),
+        progress_reporter(&report_progress),
+    )
+    .await;
     Ok(DemoResult { alone, mixed })
 }
 
@@ -89,22 +95,22 @@
     Ok(())
 }
 
-fn step(account: &str, rate: f64, min_tokens: u64, max_tokens: u64) -> Step {
-    Step {
+fn profile(account: &str, rate: f64, min_tokens: u64, max_tokens: u64) -> RequestProfile {
+    RequestProfile {
         account: ClientAccount::new(account),
         rate,
         min_tokens,
         max_tokens,
         kind: String::new(),
-        always_at: None,
+        extra_request_at: None,
     }
 }
 
-fn plan(steps: Vec<Step>, seed: u64) -> LoadPlan {
+fn plan(profiles: Vec<RequestProfile>, seed: u64) -> LoadPlan {
     LoadPlan {
         model: Model::new("m"),
-        steps,
-        duration: PART_DURATION,
+        profiles,
+        duration: PHASE_DURATION,
         answer_tokens: 64,
         deadline: Duration::from_secs(60),
         seed,
@@ -112,11 +118,11 @@
 }
 
 /// Says how far a load is, every so many requests.
-fn progress(say: &impl Fn(&str)) -> impl FnMut(&LoadReport) {
+fn progress_reporter(report_progress: &impl Fn(&str)) -> impl FnMut(&LoadSummary) {
     const EVERY: u64 = 50;
     move |report| {
         if report.sent % EVERY == 0 {
-            say(&format!(
+            report_progress(&format!(
                 "  {} answered, {} whole",
                 report.sent, report.whole
             ));
--- a/crates/azuresaddle-standin/src/load/address_book.rs
+++ b/crates/azuresaddle-standin/src/load/address_book.rs
@@ -12,7 +12,7 @@
 use tokio::time::Instant;
 
 /// Longest wait for an answer to "which address".
-const TIMEOUT: Duration = Duration::from_secs(1);
+const LOOKUP_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The addresses a caller knows.
 #[derive(Clone, Debug)]
@@ -50,7 +50,7 @@
         let known = self.addrs.iter().chain(&self.seeds).copied();
         let known: Vec<_> = known.collect();
         for addr in known {
-            let Some(answer) = ask(http, addr, account).await else {
+            let Some(answer) = fetch_addresses(http, addr, account).await else {
                 continue;
             };
             if answer.addresses.is_empty() {
@@ -64,7 +64,7 @@
     }
 }
 
-async fn ask<N: Network>(
+async fn fetch_addresses<N: Network>(
     http: &HttpClient<N>,
     addr: SocketAddr,
     account: &ClientAccount,
@@ -73,8 +73,8 @@
         .header(HEADER_ACCOUNT, account.as_str())
         .body(Full::<Bytes>::default())
         .ok()?;
-    let resp = http.send(addr, req, TIMEOUT).await.ok()?;
-    let body = tokio::time::timeout(TIMEOUT, resp.into_body().collect()).await;
+    let resp = http.send(addr, req, LOOKUP_TIMEOUT).await.ok()?;
+    let body = tokio::time::timeout(LOOKUP_TIMEOUT, resp.into_body().collect()).await;
     let bytes = body.ok()?.ok()?.to_bytes();
     serde_json::from_slice(&bytes).ok()
 }
--- a/crates/azuresaddle-standin/src/load/caller.rs
+++ b/crates/azuresaddle-standin/src/load/caller.rs
@@ -24,7 +24,7 @@
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
 /// Longest silence of a node, which sends at least a comment each second.
-const SILENCE: Duration = Duration::from_secs(6);
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// A caller of one client account.
 #[derive(Clone)]
@@ -56,7 +56,7 @@
 }
 
 /// What the caller has of an answer.
-struct Received {
+struct AnswerProgress {
     answer: Answer,
     next: u64,
     start: Option<StartEvent>,
@@ -88,7 +88,7 @@
     pub async fn run(&mut self, request: &CallerRequest) -> Outcome {
         let started = Instant::now();
         let prompt = make_prompt(request.prompt_tokens, request.seed);
-        let mut received = Received {
+        let mut progress = AnswerProgress {
             answer: Answer::new(&prompt, request.max_tokens),
             next: 0,
             start: None,
@@ -102,29 +102,29 @@
             max_tokens: request.max_tokens,
         };
         let bytes = Bytes::from(serde_json::to_vec(&body).expect("a body serializes"));
-        let work = self.until_final(request, &bytes, started, &mut received, &mut resumes);
+        let work = self.run_until_final(request, &bytes, started, &mut progress, &mut resumes);
         // The node's own deadline answers first; this one finds out nodes that do not answer.
-        let limit = started + request.deadline + SILENCE;
+        let limit = started + request.deadline + SILENCE_TIMEOUT;
         let kind = tokio::time::timeout_at(limit, work)
             .await
             .unwrap_or(OutcomeKind::Lost);
         Outcome {
             prompt_tokens: request.prompt_tokens,
-            request: received.start.as_ref().map(|s| s.request),
-            requests: received.requests,
-            first_token: received.first_token,
+            request: progress.start.as_ref().map(|s| s.request),
+            requests: progress.requests,
+            first_token: progress.first_token,
             total: started.elapsed(),
             resumes,
             kind,
         }
     }
 
-    async fn until_final(
+    async fn run_until_final(
         &mut self,
         request: &CallerRequest,
         body: &Bytes,
         started: Instant,
-        received: &mut Received,
+        progress: &mut AnswerProgress,
         resumes: &mut u32,
     ) -> OutcomeKind {
         let mut attempt = 0;
@@ -136,7 +136,7 @@
                 .await;
             attempt += 1;
             if let Some(addr) = addr {
-                let end = self.connect(addr, request, body, started, received).await;
+                let end = self.connect(addr, request, body, started, progress).await;
                 match end {
                     ConnectionEnd::Final(OutcomeKind::Failed(mut problem)) => {
                         // Earlier connections may have started what this one says did not run.
@@ -162,23 +162,23 @@
         request: &CallerRequest,
         body: &Bytes,
         started: Instant,
-        received: &mut Received,
+        progress: &mut AnswerProgress,
     ) -> ConnectionEnd {
         let left = request.deadline.saturating_sub(started.elapsed());
-        let resuming = received.start.clone();
+        let resuming = progress.start.clone();
         let req = match &resuming {
-            Some(start) => self.resume_request(start, received.next),
+            Some(start) => self.resume_request(start, progress.next),
             None => self.first_request(request, body, left),
         };
-        let resp = match self.http.send(addr, req, SILENCE).await {
+        let resp = match self.http.send(addr, req, SILENCE_TIMEOUT).await {
             Ok(resp) => resp,
             Err(e) => return ConnectionEnd::Broken(e.verdict()),
         };
         if !resp.status().is_success() {
-            return failed(resp, received, resuming.is_some(), request.idempotent).await;
+            return classify_failure(resp, progress, resuming.is_some(), request.idempotent).await;
         }
-        received
-            .read(EventReader::new(resp.into_body(), SILENCE), started)
+        progress
+            .read(EventReader::new(resp.into_body(), SILENCE_TIMEOUT), started)
             .await
     }
 
@@ -209,7 +209,7 @@
     }
 }
 
-impl Received {
+impl AnswerProgress {
     /// Reads one connection to its end and checks every event.
     async fn read(&mut self, mut events: EventReader, started: Instant) -> ConnectionEnd {
         while let Some(event) = events.next().await {
@@ -258,9 +258,9 @@
 }
 
 /// Reads a failure response; some lead to another address or a new request.
-async fn failed(
+async fn classify_failure(
     resp: Response<Incoming>,
-    received: &mut Received,
+    progress: &mut AnswerProgress,
     resuming: bool,
     idempotent: bool,
 ) -> ConnectionEnd {
@@ -271,7 +271,7 @@
         return ConnectionEnd::Broken(Verdict::MayHaveRun);
     };
     if resuming && problem.title == "answer-lost" && idempotent {
-        received.restart();
+        progress.restart();
         return ConnectionEnd::Broken(Verdict::MayHaveRun);
     }
     if problem.title == "node-unavailable" {
--- a/crates/azuresaddle-standin/src/load/mod.rs
+++ b/crates/azuresaddle-standin/src/load/mod.rs
@@ -11,5 +11,5 @@
 pub use caller::{Caller, CallerRequest};
 pub use outcome::{Outcome, OutcomeKind};
 pub use prompts::make_prompt;
-pub use report::{LengthClass, LoadReport};
-pub use run::{LoadPlan, Step, run_load};
+pub use report::{LengthClass, LoadSummary};
+pub use run::{LoadPlan, RequestProfile, run_load};
--- a/crates/azuresaddle-standin/src/load/report.rs
+++ b/crates/azuresaddle-standin/src/load/report.rs
@@ -38,7 +38,7 @@
 
 /// Results of a load.
 #[derive(Clone, Debug, Default)]
-pub struct LoadReport {
+pub struct LoadSummary {
     /// Requests sent.
     pub sent: u64,
     /// Whole answers.
@@ -59,7 +59,7 @@
     pub classes: BTreeMap<&'static str, LengthClass>,
 }
 
-impl LoadReport {
+impl LoadSummary {
     /// Adds the outcome of one request.
     pub fn add(&mut self, outcome: &Outcome) {
         self.sent += 1;
@@ -106,7 +106,7 @@
     bound.map_or("", |(_, name)| name)
 }
 
-impl fmt::Display for LoadReport {
+impl fmt::Display for LoadSummary {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(
             f,
--- a/crates/azuresaddle-standin/src/load/run.rs
+++ b/crates/azuresaddle-standin/src/load/run.rs
@@ -12,11 +12,11 @@
 
 use super::caller::{Caller, CallerRequest};
 use super::outcome::Outcome;
-use super::report::LoadReport;
+use super::report::LoadSummary;
 
 /// One kind of requests in a plan.
 #[derive(Clone, Debug)]
-pub struct Step {
+pub struct RequestProfile {
     /// Client account.
     pub account: ClientAccount,
     /// Requests a second.
@@ -28,7 +28,7 @@
     /// Kind, for rules.
     pub kind: String,
     /// When one request is sent whatever the rate, after the start.
-    pub always_at: Option<Duration>,
+    pub extra_request_at: Option<Duration>,
 }
 
 /// A plan of requests.
@@ -37,7 +37,7 @@
     /// The model.
     pub model: Model,
     /// Kinds of requests that run beside each other.
-    pub steps: Vec<Step>,
+    pub profiles: Vec<RequestProfile>,
     /// How long requests are sent.
     pub duration: Duration,
     /// Most tokens of an answer.
@@ -60,8 +60,8 @@
     http: &HttpClient<N>,
     seeds: &[SocketAddr],
     plan: &LoadPlan,
-    mut on_outcome: impl FnMut(&LoadReport),
-) -> LoadReport {
+    mut on_outcome: impl FnMut(&LoadSummary),
+) -> LoadSummary {
     let started = Instant::now();
     let mut running: FuturesUnordered<_> = arrivals(plan)
         .into_iter()
@@ -73,7 +73,7 @@
             }
         })
         .collect();
-    let mut report = LoadReport::default();
+    let mut report = LoadSummary::default();
     while let Some(outcome) = running.next().await {
         let outcome: Outcome = outcome;
         report.add(&outcome);
@@ -82,15 +82,15 @@
     report
 }
 
-/// Poisson arrivals of all steps.
+/// Poisson arrivals of all profiles.
 fn arrivals(plan: &LoadPlan) -> Vec<Arrival> {
     let mut rng = StdRng::seed_from_u64(plan.seed);
     let mut arrivals = Vec::new();
-    for step in &plan.steps {
-        let mut times: Vec<Duration> = step.always_at.into_iter().collect();
+    for profile in &plan.profiles {
+        let mut times: Vec<Duration> = profile.extra_request_at.into_iter().collect();
         let mut at = 0.0;
         loop {
-            at += -rng.random::<f64>().max(f64::MIN_POSITIVE).ln() / step.rate;
+            at += -rng.random::<f64>().max(f64::MIN_POSITIVE).ln() / profile.rate;
             if at >= plan.duration.as_secs_f64() {
                 break;
             }
@@ -98,22 +98,22 @@
         }
         let made = times
             .into_iter()
-            .map(|at| arrival(plan, step, at, &mut rng));
+            .map(|at| arrival(plan, profile, at, &mut rng));
         arrivals.extend(made);
     }
     arrivals
 }
 
-fn arrival(plan: &LoadPlan, step: &Step, at: Duration, rng: &mut StdRng) -> Arrival {
+fn arrival(plan: &LoadPlan, profile: &RequestProfile, at: Duration, rng: &mut StdRng) -> Arrival {
     Arrival {
         at,
-        account: step.account.clone(),
+        account: profile.account.clone(),
         request: CallerRequest {
             model: plan.model.clone(),
-            prompt_tokens: rng.random_range(step.min_tokens..=step.max_tokens),
+            prompt_tokens: rng.random_range(profile.min_tokens..=profile.max_tokens),
             seed: rng.random(),
             max_tokens: plan.answer_tokens,
-            kind: step.kind.clone(),
+            kind: profile.kind.clone(),
             deadline: plan.deadline,
             idempotent: true,
             key: None,
--- a/tests/testsuite/processes.rs
+++ b/tests/testsuite/processes.rs
@@ -10,7 +10,7 @@
 use azuresaddle_core::prelude::*;
 use azuresaddle_standin::engine::{EngineOptions, EngineServer};
 use azuresaddle_standin::hosts::HostListServer;
-use azuresaddle_standin::load::{LoadPlan, LoadReport, Step, run_load};
+use azuresaddle_standin::load::{LoadPlan, LoadSummary, RequestProfile, run_load};
 use azuresaddle_standin::store::StoreServer;
 
 /// Longest wait for the nodes to be ready.
@@ -169,20 +169,20 @@
     panic!("no answer within {READY_TIMEOUT:?}");
 }
 
-async fn load(system: &System, seconds: f64, rate: f64) -> LoadReport {
+async fn load(system: &System, seconds: f64, rate: f64) -> LoadSummary {
     let http = HttpClient::new(TcpNetwork, Spawner::current());
     let seeds: Vec<_> = system.nodes.iter().map(|n| n.addr).collect();
-    let step = |rate, min_tokens, max_tokens| Step {
+    let step = |rate, min_tokens, max_tokens| RequestProfile {
         account: ClientAccount::new("a"),
         rate,
         min_tokens,
         max_tokens,
         kind: String::new(),
-        always_at: None,
+        extra_request_at: None,
     };
     let plan = LoadPlan {
         model: Model::new("m"),
-        steps: vec![step(rate, 500, 3_000), step(rate / 10.0, 30_000, 60_000)],
+        profiles: vec![step(rate, 500, 3_000), step(rate / 10.0, 30_000, 60_000)],
         duration: Duration::from_secs_f64(seconds),
         answer_tokens: 200,
         deadline: Duration::from_secs(60),
@@ -191,7 +191,7 @@
     run_load(&http, &seeds, &plan, |_| {}).await
 }
 
-fn assert_sound(report: &LoadReport) {
+fn assert_sound(report: &LoadSummary) {
     assert!(report.is_sound(), "{report}");
     assert!(report.whole > 0, "{report}");
 }
