--- a/crates/azuresaddle-standin/src/engine/cache.rs
+++ b/crates/azuresaddle-standin/src/engine/cache.rs
@@ -1,13 +1,13 @@
-//! Prefix cache of an engine.
+//! Prefix cache of an engine, with least-recently-used eviction.
 
 use std::collections::VecDeque;
 
 use azuresaddle_sched::{CacheEvent, CacheEventKind};
 
-/// Events that are kept for readers.
+/// Number of recent events kept for readers.
 const MAX_EVENTS: usize = 4096;
 
-/// Cached blocks, the latest used last, and the events of their changes.
+/// Cached blocks, the most recently used last, and a log of recent changes.
 #[derive(Debug, Default)]
 pub(super) struct PrefixCache {
     blocks: VecDeque<u64>,
@@ -16,7 +16,7 @@
 }
 
 impl PrefixCache {
-    /// Leading blocks of a prompt that are cached.
+    /// Number of leading blocks of a prompt that are cached.
     pub(super) fn cached_prefix_blocks(&self, prefix: &[u64]) -> usize {
         let hit = |block: &&u64| self.blocks.contains(block);
         prefix.iter().take_while(hit).count()
--- a/crates/azuresaddle-standin/src/engine/faults.rs
+++ b/crates/azuresaddle-standin/src/engine/faults.rs
@@ -1,28 +1,29 @@
-//! Faults of an engine.
+//! Faults that an engine can simulate.
 
 use serde::{Deserialize, Serialize};
 
-/// Faults in force; all off by default.
+/// Active faults; all off by default. An `_every` fault affects one in that many events and is off
+/// at 0.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", default, deny_unknown_fields)]
 pub struct EngineFaults {
-    /// Nothing is answered and no event is sent.
+    /// No request is answered and no event is sent; `/faults` and `/counts` still work.
     pub silent: bool,
-    /// One in so many events is preceded by another stream's; 0 for none.
+    /// The event is preceded by an event that belongs to another stream.
     pub crossed_every: u64,
-    /// One in so many events is sent twice; 0 for none.
+    /// The event is sent twice.
     pub doubled_every: u64,
-    /// One in so many events is left out; 0 for none.
+    /// The event is left out, unless it is the last one.
     pub missing_every: u64,
-    /// One in so many events comes after the next one; 0 for none.
+    /// The event is sent after the next one, unless it is the last one.
     pub late_every: u64,
-    /// The next orders to cancel that are neither carried out nor answered.
+    /// Number of upcoming cancel requests that are neither carried out nor answered.
     pub lose_cancels: u32,
-    /// Streams break off after so many events, once each connection; 0 for never.
+    /// Number of events after which each connection of a stream is closed; 0 for never.
     pub break_after: u64,
-    /// Factor by which prefills and steps are slower.
+    /// Factor by which prefills and decode steps take longer.
     pub slowdown: f64,
-    /// One in so many cache events is lost; 0 for none.
+    /// The cache event is left out of the reported changes.
     pub cache_gap_every: u64,
 }
 
@@ -42,7 +43,7 @@
     }
 }
 
-/// Whether a fault that occurs once every so many events affects the event with this number.
+/// Whether a fault that affects one in `every` events affects the event with this number.
 pub(super) fn is_affected(every: u64, number: u64) -> bool {
     every > 0 && number % every == every - 1
 }
--- a/crates/azuresaddle-standin/src/engine/loops.rs
+++ b/crates/azuresaddle-standin/src/engine/loops.rs
@@ -1,4 +1,4 @@
-//! The engine's two loops: prefills one at a time, and decode steps.
+//! Background loops of the engine: prefills, decode steps and the load report.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 
 use super::server::Shared;
 
-/// Starts both loops and the load report.
+/// Starts all background loops.
 pub(super) fn spawn_loops(shared: &Arc<Shared>, spawner: &Spawner) {
     let prefill = Arc::clone(shared);
     spawner.spawn(async move { run_prefills(&prefill).await });
@@ -37,7 +37,7 @@
     }
 }
 
-/// Waits until a stream is gone.
+/// Waits until a stream has been removed.
 async fn until_removed(shared: &Shared, id: StreamId) {
     loop {
         let stopped = shared.cancelled.notified();
@@ -65,7 +65,7 @@
     }
 }
 
-/// Keeps the load report as old as its lag.
+/// Publishes the load with a delay of `load_lag`.
 async fn refresh_load(shared: &Shared) {
     loop {
         let report = shared.current_load();
--- a/crates/azuresaddle-standin/src/engine/mod.rs
+++ b/crates/azuresaddle-standin/src/engine/mod.rs
@@ -1,10 +1,9 @@
 //! Stand-in of a model engine.
 //!
-//! Prefills run one at a time in order of priority; a running one ends early only when it is
-//! cancelled. Decoding is
-//! batched: each running stream gets one token a step, slower the more streams there are. A stream
-//! that nobody reads stops decoding once its buffer is full, and holds its memory until it is
-//! cancelled, as a real engine's would.
+//! Prefills run one at a time in order of priority; a running prefill ends early only when its
+//! stream is cancelled. Decoding is batched: each decoding stream gets one token per step, and a
+//! step takes longer the more streams there are. As in a real engine, a stream that nobody reads
+//! stops decoding once its buffer is full and holds its memory until it is cancelled.
 
 mod cache;
 mod faults;
--- a/crates/azuresaddle-standin/src/engine/options.rs
+++ b/crates/azuresaddle-standin/src/engine/options.rs
@@ -7,17 +7,17 @@
 pub struct EngineOptions {
     /// Memory, in tokens.
     pub memory_tokens: u64,
-    /// Prefill rate, in tokens a second.
+    /// Prefill rate, in tokens per second.
     pub prefill_rate: f64,
-    /// Time of one decode step of a single stream.
+    /// Duration of a decode step with a single stream.
     pub decode_step: Duration,
-    /// Part by which each further stream makes a step longer.
+    /// Relative increase of the step duration for each additional stream.
     pub batch_slowdown: f64,
-    /// Blocks of the prefix cache, 1024 tokens each.
+    /// Capacity of the prefix cache, in blocks of 1024 tokens.
     pub cache_blocks: usize,
-    /// Age of the load report.
+    /// Delay with which the load report shows the engine's state.
     pub load_lag: Duration,
-    /// Whether orders with an old fencing number are refused.
+    /// Whether requests with an outdated fencing token are rejected.
     pub checks_fencing: bool,
 }
 
--- a/crates/azuresaddle-standin/src/engine/sender.rs
+++ b/crates/azuresaddle-standin/src/engine/sender.rs
@@ -11,22 +11,22 @@
 use super::faults::is_affected;
 use super::server::Shared;
 
-/// Interval of comment lines while no token is ready.
+/// Interval at which a comment line is sent while no token is ready.
 const KEEP_ALIVE: Duration = Duration::from_secs(1);
 
-/// Sends the events of a stream to one reader, with the faults in force.
+/// Sends the events of a stream to one reader and applies the active faults.
 pub(super) struct Sender<'a> {
     shared: &'a Shared,
     id: StreamId,
     reader: u64,
     next: u64,
     sent: u64,
-    /// An event that comes late.
+    /// An event that the `late_every` fault delays until after the next one.
     delayed: Option<Bytes>,
     tx: mpsc::Sender<Bytes>,
 }
 
-/// What a reader can be given now.
+/// What there is to send to a reader.
 enum NextEvent {
     Token(TokenEvent),
     Wait(Arc<Notify>),
@@ -34,7 +34,7 @@
 }
 
 impl<'a> Sender<'a> {
-    /// A sender that begins at the token `next`.
+    /// Creates a sender that starts with the token at index `next`.
     pub(super) fn new(
         shared: &'a Shared,
         id: StreamId,
@@ -91,7 +91,8 @@
     }
 
     async fn wait(&self, changed: &Notify) -> bool {
-        // Waited for with a bound, so that a change between the look and the wait costs little.
+        // A change between the check for a token and this wait is missed; the timeout bounds the
+        // resulting delay.
         match tokio::time::timeout(KEEP_ALIVE, changed.notified()).await {
             Ok(()) => true,
             Err(_) => self
--- a/crates/azuresaddle-standin/src/engine/server.rs
+++ b/crates/azuresaddle-standin/src/engine/server.rs
@@ -26,16 +26,16 @@
 use super::state::{EngineState, Rejection};
 use crate::http_util::{bad_request, query_param, read_json};
 
-/// Longest body, in bytes.
+/// Maximum size of a request body, in bytes.
 const MAX_BODY_BYTES: usize = 64 << 20;
 
-/// Longest time for a body to arrive.
+/// Timeout for receiving a request body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Events that wait for a slow reader.
+/// Number of events buffered for a slow reader.
 const EVENT_QUEUE_LEN: usize = 16;
 
-/// A running engine.
+/// HTTP server of a running engine.
 #[derive(Clone)]
 pub struct EngineServer {
     shared: Arc<Shared>,
@@ -49,16 +49,16 @@
     pub(super) incarnation: Incarnation,
     pub(super) queued: Notify,
     pub(super) decoding: Notify,
-    /// Told when a stream was cancelled.
+    /// Notified when a stream is cancelled.
     pub(super) cancelled: Notify,
     spawner: Spawner,
 }
 
 impl EngineServer {
-    /// Binds and serves.
+    /// Binds to the address and starts serving.
     ///
     /// # Errors
-    /// Where the address can't be bound.
+    /// Returns an error if the address can't be bound.
     pub async fn bind<N: Network>(
         net: &N,
         addr: SocketAddr,
@@ -98,17 +98,17 @@
         self.addr
     }
 
-    /// Replaces the faults in force.
+    /// Replaces the active faults.
     pub fn set_faults(&self, faults: EngineFaults) {
         *lock(&self.shared.faults) = faults;
     }
 
-    /// The faults in force.
+    /// The active faults.
     pub fn faults(&self) -> EngineFaults {
         self.shared.faults()
     }
 
-    /// Memory held, in tokens.
+    /// Memory in use, in tokens.
     pub fn used_tokens(&self) -> u64 {
         self.shared.state().used_tokens()
     }
@@ -118,7 +118,7 @@
         self.shared.state().live_streams().len()
     }
 
-    /// How often the prefill of each prompt began, by the prompt's digest.
+    /// Number of prefills started for each prompt, by the prompt's digest.
     pub fn executions(&self) -> HashMap<u64, u64> {
         self.shared.state().executions.clone()
     }
@@ -137,6 +137,7 @@
         lock(&self.load)
     }
 
+    /// Never returns if the `silent` fault is active at the time of the call.
     pub(super) async fn hang_if_silent(&self) {
         if self.faults().silent {
             std::future::pending::<()>().await;
@@ -250,7 +251,7 @@
         Ok(json(StatusCode::OK, &GoneReply { gone: true }))
     }
 
-    /// Streams the events of one stream to one reader.
+    /// Creates a response that sends the events of a stream to one reader.
     fn respond(&self, id: StreamId, first: u64, reader: u64) -> Response<Body> {
         let (tx, rx) = mpsc::channel(EVENT_QUEUE_LEN);
         let shared = Arc::clone(&self.shared);
--- a/crates/azuresaddle-standin/src/engine/state.rs
+++ b/crates/azuresaddle-standin/src/engine/state.rs
@@ -1,4 +1,4 @@
-//! State of an engine.
+//! State of an engine: its streams, memory, cache and fencing epochs.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -14,16 +14,16 @@
 use super::stream::{Stage, Stream};
 use crate::answer::Answer;
 
-/// Tokens that a stream may be ahead of its reader.
+/// Maximum number of tokens that are generated ahead of the stream's reader.
 const MAX_UNREAD_TOKENS: u64 = 256;
 
-/// Time for which a finished stream is kept for readers.
+/// Time for which a finished stream stays available to readers.
 const FINISHED_RETENTION: Duration = Duration::from_secs(20);
 
-/// Tokens of one cached block.
+/// Number of tokens per cached block.
 const BLOCK_TOKENS: u64 = 1024;
 
-/// Why an order is not carried out.
+/// Reason for rejecting a request; see the `TITLE_` constants of the wire module.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Rejection {
     Fenced,
@@ -33,15 +33,17 @@
     Unknown,
 }
 
-/// Streams, memory and cache of an engine.
+/// Streams, memory, cache and fencing epochs of an engine.
 #[derive(Debug)]
 pub(super) struct EngineState {
     pub(super) options: EngineOptions,
     pub(super) streams: BTreeMap<StreamId, Stream>,
-    lends: BTreeMap<StreamId, LendRequest>,
+    /// Memory held for streams that other engines lead.
+    lends: BTreeMap<StreamId, Lend>,
+    /// Highest epoch seen for each pool.
     fences: HashMap<String, Epoch>,
     pub(super) cache: PrefixCache,
-    /// How often the prefill of each prompt began, by the prompt's digest.
+    /// Number of prefills started for each prompt, by the prompt's digest.
     pub(super) executions: HashMap<u64, u64>,
     accepted_streams: u64,
 }
@@ -59,7 +61,7 @@
         }
     }
 
-    /// Memory held, in tokens.
+    /// Memory in use, in tokens, lent memory included.
     pub(super) fn used_tokens(&self) -> u64 {
         let streams = self.streams.values().filter(|s| s.holds_memory());
         let lent: u64 = self.lends.values().map(|l| l.memory_tokens).sum();
@@ -108,8 +110,8 @@
         Ok(())
     }
 
-    /// Queues a stream; returns the number of its reader.
-    pub(super) fn start(&mut self, start: StartRequest) -> Result<u64, Rejection> {
+    /// Queues a new stream and returns the number of its reader.
+    pub(super) fn start(&mut self, start: Start) -> Result<u64, Rejection> {
         self.check_fence(&start.fence)?;
         if self.streams.contains_key(&start.stream) {
             return Err(Rejection::Duplicate);
@@ -137,7 +139,7 @@
         Ok(1)
     }
 
-    /// Makes a new connection the reader of a stream; returns its number.
+    /// Makes a new connection the reader of a stream and returns the reader's number.
     pub(super) fn resume(
         &mut self,
         id: StreamId,
@@ -156,8 +158,8 @@
         Ok(stream.reader)
     }
 
-    /// Forgets a stream and lent memory; unknown ones are gone already, and finished ones hold
-    /// nothing and are kept for their readers.
+    /// Removes a stream and the memory lent for it. Unknown streams are ignored; finished ones hold
+    /// no memory and stay available to their readers.
     pub(super) fn cancel(&mut self, id: StreamId) {
         self.lends.remove(&id);
         if self.streams.get(&id).is_some_and(|s| !s.holds_memory()) {
@@ -168,7 +170,8 @@
         }
     }
 
-    /// The queued stream that is next, and the time of its prefill.
+    /// Starts the prefill of the queued stream with the highest priority, the oldest first; returns
+    /// the stream and the duration of its prefill.
     pub(super) fn begin_prefill(&mut self) -> Option<(StreamId, Duration)> {
         let queued = self
             .streams
@@ -196,7 +199,8 @@
         self.add_token(id, Instant::now());
     }
 
-    /// One decode step of all streams; false where none decodes.
+    /// Runs a decode step for all decoding streams and removes finished streams whose retention
+    /// has ended. Returns whether any stream was decoding.
     pub(super) fn step(&mut self, now: Instant) -> bool {
         let decoding = self
             .streams
--- a/crates/azuresaddle-standin/src/engine/stream.rs
+++ b/crates/azuresaddle-standin/src/engine/stream.rs
@@ -8,7 +8,7 @@
 
 use crate::answer::Answer;
 
-/// State of a stream.
+/// A stream and its progress.
 #[derive(Debug)]
 pub(super) struct Stream {
     pub(super) node: HostName,
@@ -21,23 +21,24 @@
     pub(super) members: u32,
     pub(super) memory_tokens: u64,
     pub(super) stage: Stage,
-    /// Tokens that are ready to be read.
+    /// Number of tokens that are ready to be read, including those the caller had before the start.
     pub(super) generated_tokens: u64,
-    /// Index of the next token that its reader has not taken.
+    /// Index of the next token that the reader has not read yet.
     pub(super) read_tokens: u64,
-    /// Number of the connection that reads it; older ones have to end.
+    /// Number of the connection that currently reads the stream; older connections end.
     pub(super) reader: u64,
-    /// Told when a token is ready or read.
+    /// Notified when a token is ready, the reader is replaced or the stream is removed.
     pub(super) changed: Arc<Notify>,
 }
 
-/// How far a stream is.
+/// Processing stage of a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Stage {
     Queued,
     Prefilling,
     Decoding,
-    /// All tokens are ready and the memory is free; kept for readers until then.
+    /// All tokens are ready and the memory is released. Holds the time at which the stream
+    /// finished; readers can use it for `FINISHED_RETENTION` after that.
     Finished(Instant),
 }
 
