--- a/crates/azuresaddle-standin/src/cluster/networks.rs
+++ b/crates/azuresaddle-standin/src/cluster/networks.rs
@@ -1,4 +1,4 @@
-//! Which network and address each host of a cluster has.
+//! Network and address of each host of a cluster.
 
 use std::collections::HashMap;
 use std::net::{IpAddr, Ipv4Addr};
@@ -9,12 +9,13 @@
 
 use crate::net::{Fabric, MemoryNetwork};
 
-/// Gives each host its network.
+/// Assigns a network and an address to each host.
 pub trait HostNetworks {
-    /// The network.
+    /// Type of the network.
     type Net: Network;
 
-    /// The network as a host sees it, and the host's address; the same for the same name.
+    /// The network as seen by a host, and the host's address; the same name always gets the same
+    /// address.
     fn host_network(&self, host: &str) -> (Self::Net, IpAddr);
 }
 
@@ -33,7 +34,7 @@
 /// Each host with an address of its own on an in-memory network.
 #[derive(Debug, Default)]
 pub struct MemoryHosts {
-    /// The wires between the hosts.
+    /// The simulated connections between the hosts.
     pub fabric: Fabric,
     numbers: Mutex<HashMap<String, u8>>,
 }
--- a/crates/azuresaddle-standin/src/cluster/spec.rs
+++ b/crates/azuresaddle-standin/src/cluster/spec.rs
@@ -1,4 +1,4 @@
-//! What a cluster consists of.
+//! Specification of a cluster.
 
 use std::time::Duration;
 
@@ -48,12 +48,12 @@
     pub engines: Vec<EngineSpec>,
     /// Hosts that run plain services.
     pub services: Vec<ServiceSpec>,
-    /// Lag of the host list.
+    /// Time after which a change becomes visible in the host list.
     pub host_list_lag: Duration,
 }
 
 impl ClusterSpec {
-    /// Equal hosts in one failure domain: nodes `n1`…, engines `e1`… of the model `m`, and plain
+    /// Identical hosts in one failure domain: nodes `n1`…, engines `e1`… of the model `m`, and plain
     /// service hosts `s1`… of the service `svc`.
     pub fn uniform(nodes: usize, engines: usize, services: usize, options: &EngineOptions) -> Self {
         let domain = FailureDomain::new("d1");
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Spreads the hosts of each kind over failure domains `d1`… in turn.
+    /// Spreads the hosts of each kind over failure domains `d1`… in round-robin order.
     pub fn spread_over_domains(mut self, count: usize) -> Self {
         let domain = |i: usize| FailureDomain::new(format!("d{}", i % count.max(1) + 1));
         for (i, node) in self.nodes.iter_mut().enumerate() {
--- a/crates/azuresaddle-standin/src/cluster/system.rs
+++ b/crates/azuresaddle-standin/src/cluster/system.rs
@@ -1,4 +1,4 @@
-//! Starts, kills and restarts the parts of a cluster.
+//! Starts, kills and restarts the components of a cluster.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
@@ -18,28 +18,28 @@
 use crate::service::ServiceServer;
 use crate::store::StoreServer;
 
-/// A running engine with what is needed to start it again.
+/// A running engine with the data needed to restart it.
 pub struct EngineHost {
     /// The engine.
     pub server: EngineServer,
-    /// Its tasks.
+    /// Runs its tasks; killing the spawner ends them.
     pub spawner: Spawner,
     spec: EngineSpec,
     incarnation: Incarnation,
 }
 
-/// A running node with what is needed to start it again.
+/// A running node with the data needed to restart it.
 pub struct NodeHost {
     /// The node.
     pub node: Node,
-    /// Its tasks.
+    /// Runs its tasks; killing the spawner ends them.
     pub spawner: Spawner,
     spec: HostSpec,
 }
 
-/// A running system.
+/// A running cluster.
 pub struct Cluster<P: HostNetworks> {
-    /// Networks of the hosts.
+    /// The hosts' networks and addresses.
     pub networks: P,
     /// The key-value service.
     pub store: StoreServer,
@@ -49,16 +49,16 @@
     pub engines: BTreeMap<HostName, EngineHost>,
     /// Plain services by name.
     pub services: BTreeMap<HostName, ServiceServer>,
-    /// Nodes by name; killed ones are left out.
+    /// Running nodes by name, without killed ones.
     pub nodes: BTreeMap<HostName, NodeHost>,
     adjust_settings: fn(&mut Settings),
 }
 
 impl<P: HostNetworks> Cluster<P> {
-    /// Starts all parts; `adjust_settings` changes the nodes' settings.
+    /// Starts all components; each node's settings are passed through `adjust_settings` first.
     ///
     /// # Errors
-    /// Where a part can't be started.
+    /// Returns an error if a component can't be started.
     pub async fn open(
         networks: P,
         spec: ClusterSpec,
@@ -152,7 +152,8 @@
             host_list: self.hosts.addr(),
         };
         let mut settings = Settings::new(spec.name.as_str(), spec.domain.as_str(), addrs);
-        // The in-memory network has no loopback address to tell apart.
+        // Nodes require an admin token on addresses other than loopback, and the in-memory network
+        // has no loopback address.
         settings.admin_token = Some(ADMIN_TOKEN.to_owned());
         (self.adjust_settings)(&mut settings);
         let spawner = Spawner::current();
@@ -177,17 +178,17 @@
         Ok(())
     }
 
-    /// Kills a node as `kill -9` would; the host list learns nothing of it.
+    /// Kills a node as `kill -9` would; the host list is not updated.
     pub fn kill_node(&mut self, name: &HostName) -> Option<HostSpec> {
         let host = self.nodes.remove(name)?;
         host.spawner.kill();
         Some(host.spec)
     }
 
-    /// Starts a node, with new ports and nothing remembered.
+    /// Starts a node on new ports and without state from an earlier run.
     ///
     /// # Errors
-    /// Where it can't be started.
+    /// Returns an error if it can't be started.
     pub async fn restart_node(&mut self, spec: HostSpec) -> Result<()> {
         self.start_node(spec).await
     }
@@ -202,34 +203,34 @@
     /// Starts a killed engine again, empty and with a new incarnation.
     ///
     /// # Errors
-    /// Where there is none of that name, or it can't be started.
+    /// Returns an error if there is no engine of that name or it can't be started.
     pub async fn restart_engine(&mut self, name: &HostName) -> Result<()> {
         let host = self.engines.remove(name).context("no such engine")?;
         host.spawner.kill();
-        // The old listener is gone once its tasks have been dropped.
+        // Lets the runtime drop the killed tasks, which closes the old listener.
         tokio::task::yield_now().await;
         let addr = host.server.addr();
         let incarnation = host.incarnation.next();
         self.start_engine(host.spec, incarnation, Some(addr)).await
     }
 
-    /// Addresses of the nodes for callers.
+    /// Addresses at which the nodes accept callers.
     pub fn seeds(&self) -> Vec<SocketAddr> {
         self.nodes.values().map(|host| host.node.addr()).collect()
     }
 
-    /// An HTTP client on a host of its own.
+    /// An HTTP client that runs on the named host.
     pub fn client(&self, host: &str) -> HttpClient<P::Net> {
         let (net, _) = self.networks.host_network(host);
         HttpClient::new(net, Spawner::current())
     }
 
-    /// Memory that all engines hold, in tokens.
+    /// Memory in use on all engines, in tokens.
     pub fn used_tokens(&self) -> u64 {
         self.engines.values().map(|e| e.server.used_tokens()).sum()
     }
 
-    /// Whether every pool has an owner that all nodes know and whose targets all take work.
+    /// Whether every node knows an owner of every pool and sees all of its targets as usable.
     pub fn is_settled(&self) -> bool {
         self.nodes.values().all(|host| {
             let snapshot = host.node.snapshot();
@@ -244,7 +245,7 @@
     }
 }
 
-/// Bearer token of the operators of a cluster.
+/// Bearer token for the admin interface of a cluster's nodes.
 pub const ADMIN_TOKEN: &str = "stand-in-token";
 
 fn any_port(ip: IpAddr) -> SocketAddr {
