--- a/crates/azuresaddle-standin/src/demo/mod.rs
+++ b/crates/azuresaddle-standin/src/demo/mod.rs
@@ -1,4 +1,4 @@
-//! The whole system in one process on loopback, under a load of very unlike lengths.
+//! Runs the whole system in one process on loopback with prompts of widely varying lengths.
 
 use std::time::Duration;
 
@@ -16,35 +16,35 @@
 /// Number of engines.
 const ENGINES: usize = 8;
 
-/// Shortest of the prompts that need at least three engines, in tokens.
+/// Minimum length of the prompts that need at least three engines, in tokens.
 const HUGE_TOKENS: u64 = 850_000;
 
-/// Longest wait for the system to settle.
+/// Timeout for the system to settle.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// How long requests are sent in each of the two parts.
+/// Time during which requests are sent in each of the two phases.
 const PHASE_DURATION: Duration = Duration::from_secs(15);
 
-/// What the two parts of the demo measured.
+/// Results of the demo's two phases.
 #[derive(Clone, Debug)]
 pub struct DemoResult {
-    /// Short prompts alone.
+    /// Results of short prompts alone.
     pub alone: LoadSummary,
-    /// Short and long prompts beside each other.
+    /// Results of short and long prompts together.
     pub mixed: LoadSummary,
 }
 
 impl DemoResult {
-    /// Whether nothing was lost, crossed or doubled.
+    /// Whether no answer was lost, crossed or doubled.
     pub fn is_sound(&self) -> bool {
         self.alone.is_sound() && self.mixed.is_sound()
     }
 }
 
-/// Runs the demo; `report_progress` gets lines of progress.
+/// Runs the demo; `report_progress` is called with each line of progress.
 ///
 /// # Errors
-/// Where a part can't be started or the system does not settle.
+/// Returns an error if a component can't be started or the system does not settle in time.
 pub async fn run_demo(seed: u64, report_progress: impl Fn(&str)) -> Result<DemoResult> {
     let options = EngineOptions {
         decode_step: Duration::from_millis(10),
@@ -88,7 +88,7 @@
     while !cluster.is_settled() {
         ensure!(
             Instant::now() < deadline,
-            "the nodes did not settle in {SETTLE_TIMEOUT:?}"
+            "not every pool had a known owner and usable targets within {SETTLE_TIMEOUT:?}"
         );
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
@@ -117,7 +117,7 @@
     }
 }
 
-/// Says how far a load is, every so many requests.
+/// Returns a callback that reports progress after every 50th outcome.
 fn progress_reporter(report_progress: &impl Fn(&str)) -> impl FnMut(&LoadSummary) {
     const EVERY: u64 = 50;
     move |report| {
--- a/crates/azuresaddle-standin/src/load/address_book.rs
+++ b/crates/azuresaddle-standin/src/load/address_book.rs
@@ -1,4 +1,4 @@
-//! Addresses that a caller keeps for their time to live.
+//! Cache of node addresses, which a caller keeps for their time to live.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,10 +11,10 @@
 use hyper::Request;
 use tokio::time::Instant;
 
-/// Longest wait for an answer to "which address".
+/// Timeout of an address lookup, for the head and for the body.
 const LOOKUP_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The addresses a caller knows.
+/// The node addresses that a caller knows.
 #[derive(Clone, Debug)]
 pub(super) struct AddressBook {
     seeds: Vec<SocketAddr>,
@@ -31,7 +31,7 @@
         }
     }
 
-    /// The address to try as the `attempt`-th, from 0.
+    /// The address for an attempt, counted from 0; expired addresses are looked up again first.
     pub(super) async fn pick<N: Network>(
         &mut self,
         http: &HttpClient<N>,
@@ -45,7 +45,7 @@
         (count > 0).then(|| self.addrs[attempt % count])
     }
 
-    /// Asks the known addresses in turn, then the seeds.
+    /// Looks up the addresses at each known node in turn, then at the seeds, until one answers.
     async fn refresh<N: Network>(&mut self, http: &HttpClient<N>, account: &ClientAccount) {
         let known = self.addrs.iter().chain(&self.seeds).copied();
         let known: Vec<_> = known.collect();
--- a/crates/azuresaddle-standin/src/load/caller.rs
+++ b/crates/azuresaddle-standin/src/load/caller.rs
@@ -1,4 +1,4 @@
-//! One caller.
+//! A caller that sends a request and follows its answer, over several connections if needed.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -23,7 +23,8 @@
 /// Pause before another address is tried.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// Longest silence of a node, which sends at least a comment each second.
+/// Time without data after which a connection counts as broken. A node sends at least a comment
+/// line each second.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// A caller of one client account.
@@ -41,21 +42,21 @@
     pub model: Model,
     /// Length of the prompt, in tokens.
     pub prompt_tokens: u64,
-    /// Seed of the prompt.
+    /// Seed from which the prompt is made.
     pub seed: u64,
-    /// Most tokens of the answer.
+    /// Maximum length of the answer, in tokens.
     pub max_tokens: u64,
-    /// Kind, for rules.
+    /// Kind of the request, matched by rules.
     pub kind: String,
     /// Time until the deadline.
     pub deadline: Duration,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub idempotent: bool,
     /// Idempotency key, if any.
     pub key: Option<String>,
 }
 
-/// What the caller has of an answer.
+/// The part of an answer that the caller has received.
 struct AnswerProgress {
     answer: Answer,
     next: u64,
@@ -67,12 +68,13 @@
 /// How one connection ended.
 enum ConnectionEnd {
     Final(OutcomeKind),
-    /// Another address may do; the verdict is on what was sent over this one.
+    /// Another address may succeed; the verdict says whether the request may have run over this
+    /// connection.
     Broken(Verdict),
 }
 
 impl<N: Network> Caller<N> {
-    /// A caller that knows some addresses to begin with.
+    /// Creates a caller that finds the nodes through the `seeds` addresses.
     pub fn new(http: HttpClient<N>, account: ClientAccount, seeds: Vec<SocketAddr>) -> Self {
         Self {
             http,
@@ -81,10 +83,10 @@
         }
     }
 
-    /// Makes a request and stays with it until its final answer.
+    /// Sends a request and retries or resumes it until its final outcome.
     ///
-    /// A refusal that names a time to come back is final; only broken connections and nodes that
-    /// take no requests lead to another address.
+    /// A refusal is final even if it names a time to retry. Only broken connections, unavailable
+    /// nodes and the loss of an idempotent request's answer lead to another attempt.
     pub async fn run(&mut self, request: &CallerRequest) -> Outcome {
         let started = Instant::now();
         let prompt = make_prompt(request.prompt_tokens, request.seed);
@@ -103,7 +105,8 @@
         };
         let bytes = Bytes::from(serde_json::to_vec(&body).expect("a body serializes"));
         let work = self.run_until_final(request, &bytes, started, &mut progress, &mut resumes);
-        // The node's own deadline answers first; this one finds out nodes that do not answer.
+        // A node answers at the request's deadline at the latest; this later limit detects nodes
+        // that do not.
         let limit = started + request.deadline + SILENCE_TIMEOUT;
         let kind = tokio::time::timeout_at(limit, work)
             .await
@@ -139,7 +142,8 @@
                 let end = self.connect(addr, request, body, started, progress).await;
                 match end {
                     ConnectionEnd::Final(OutcomeKind::Failed(mut problem)) => {
-                        // Earlier connections may have started what this one says did not run.
+                        // An earlier connection may have started the request that this one reports
+                        // as not run.
                         problem.verdict = problem.verdict.max(verdict);
                         return OutcomeKind::Failed(problem);
                     }
@@ -250,14 +254,14 @@
         ConnectionEnd::Broken(Verdict::MayHaveRun)
     }
 
-    /// Forgets an answer that can't be gone on with, so that the request is made anew.
+    /// Discards an answer that can't be resumed, so that the request is sent again.
     fn restart(&mut self) {
         self.start = None;
         self.next = 0;
     }
 }
 
-/// Reads a failure response; some lead to another address or a new request.
+/// Reads a failure response and decides whether it is final or leads to another attempt.
 async fn classify_failure(
     resp: Response<Incoming>,
     progress: &mut AnswerProgress,
@@ -280,7 +284,7 @@
     ConnectionEnd::Final(OutcomeKind::Failed(problem))
 }
 
-/// What a caller has to assume when its connection broke and it must not ask again.
+/// Failure to report when the connection broke and the request must not be sent again.
 fn unknown_outcome() -> Problem {
     Problem::unavailable("connection-broke", "the connection broke", RETRY_PAUSE)
         .verdict(Verdict::MayHaveRun)
--- a/crates/azuresaddle-standin/src/load/mod.rs
+++ b/crates/azuresaddle-standin/src/load/mod.rs
@@ -1,5 +1,5 @@
-//! Callers: they ask for addresses, send requests, verify every token, and go on with broken
-//! answers through other nodes.
+//! Load generator. Its callers look up node addresses, send requests, verify every token, and
+//! resume interrupted answers through other nodes.
 
 mod address_book;
 mod caller;
--- a/crates/azuresaddle-standin/src/load/outcome.rs
+++ b/crates/azuresaddle-standin/src/load/outcome.rs
@@ -1,39 +1,39 @@
-//! What became of one request, as its caller saw it.
+//! Outcome of a request as seen by its caller.
 
 use std::time::Duration;
 
 use azuresaddle_core::prelude::*;
 
-/// What became of a request.
+/// How a request ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OutcomeKind {
-    /// The whole answer came, and it is the caller's own.
+    /// The whole answer arrived, and every token belongs to it.
     Whole,
-    /// A final failure came, with its verdict.
+    /// The request failed for good; the problem's verdict says whether it may have run.
     Failed(Problem),
-    /// No final answer came by the deadline.
+    /// The answer ended incomplete, or nothing final arrived in time.
     Lost,
-    /// A token that is not of this answer came.
+    /// A token of another answer arrived.
     Crossed,
-    /// A token came twice, or after a gap.
+    /// A token arrived twice or after a gap.
     Doubled,
 }
 
-/// What became of one request.
+/// Outcome and timing of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outcome {
     /// Length of the prompt, in tokens.
     pub prompt_tokens: u64,
-    /// The request's last identifier, if any answer began.
+    /// Latest identifier of the request, if any answer began.
     pub request: Option<RequestId>,
-    /// Every identifier under which the caller saw an answer begin.
+    /// All identifiers under which an answer began.
     pub requests: Vec<RequestId>,
     /// Time to the first token.
     pub first_token: Option<Duration>,
-    /// Time to the final answer.
+    /// Time to the final outcome.
     pub total: Duration,
-    /// Connections that broke and were replaced.
+    /// Number of times the request was retried or resumed over another connection.
     pub resumes: u32,
-    /// What became of it.
+    /// How the request ended.
     pub kind: OutcomeKind,
 }
--- a/crates/azuresaddle-standin/src/load/prompts.rs
+++ b/crates/azuresaddle-standin/src/load/prompts.rs
@@ -1,4 +1,4 @@
-//! Prompts of a wanted length.
+//! Generates prompts of a given length.
 
 use azuresaddle_core::prompt::BYTES_PER_TOKEN;
 
@@ -6,7 +6,8 @@
 const FILLER: &str =
     "the flat on the second floor has an old meter and a slow leak in the kitchen. ";
 
-/// A prompt of that many tokens; equal seeds give equal prompts, others differ from the start.
+/// Makes a prompt of `tokens` tokens. Equal seeds give equal prompts; different seeds give
+/// prompts that differ within the first bytes.
 pub fn make_prompt(tokens: u64, seed: u64) -> String {
     let bytes = tokens as usize * BYTES_PER_TOKEN;
     let mut prompt = format!("{seed:016x} ");
--- a/crates/azuresaddle-standin/src/load/report.rs
+++ b/crates/azuresaddle-standin/src/load/report.rs
@@ -1,4 +1,4 @@
-//! Results of a load, by length of prompt.
+//! Summary of a load run, by length of the prompts.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -7,10 +7,10 @@
 
 use super::outcome::{Outcome, OutcomeKind};
 
-/// Longest first-token time that is told apart, in milliseconds.
+/// Longest first-token time that is recorded, in milliseconds; longer ones are recorded as this.
 const MAX_MS: u64 = 3_600_000;
 
-/// Upper bounds of the length classes, in tokens.
+/// Upper bounds of the length classes, in tokens, with their names.
 const CLASS_BOUNDS: [(u64, &str); 4] = [
     (8_192, "up to 8k"),
     (65_536, "8k to 64k"),
@@ -18,7 +18,7 @@
     (u64::MAX, "over 256k"),
 ];
 
-/// First-token times of one class of prompts.
+/// First-token times of the prompts in one length class.
 #[derive(Clone, Debug)]
 pub struct LengthClass {
     /// Requests sent.
@@ -36,26 +36,26 @@
     }
 }
 
-/// Results of a load.
+/// Counts and first-token times of a load run.
 #[derive(Clone, Debug, Default)]
 pub struct LoadSummary {
     /// Requests sent.
     pub sent: u64,
-    /// Whole answers.
+    /// Requests with a complete answer.
     pub whole: u64,
-    /// Final failures of requests that did not run.
+    /// Requests that failed and did not run.
     pub refused: u64,
-    /// Final failures of requests that may have run.
+    /// Requests that failed and may have run.
     pub failed: u64,
-    /// Requests without a final answer.
+    /// Requests whose answer was incomplete or missing.
     pub lost: u64,
-    /// Answers with a token of another.
+    /// Answers that contained a token of another answer.
     pub crossed: u64,
-    /// Answers with a token twice or left out.
+    /// Answers in which a token was repeated or missing.
     pub doubled: u64,
-    /// Connections that broke and were replaced.
+    /// Number of times a request was retried or resumed over another connection.
     pub resumes: u64,
-    /// First-token times by length.
+    /// First-token times by length class.
     pub classes: BTreeMap<&'static str, LengthClass>,
 }
 
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Whether nothing was lost, crossed or doubled.
+    /// Whether no answer was lost, crossed or doubled.
     pub fn is_sound(&self) -> bool {
         self.lost == 0 && self.crossed == 0 && self.doubled == 0
     }
--- a/crates/azuresaddle-standin/src/load/run.rs
+++ b/crates/azuresaddle-standin/src/load/run.rs
@@ -1,4 +1,4 @@
-//! Runs a plan of requests.
+//! Sends the requests of a load plan.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,48 +14,49 @@
 use super::outcome::Outcome;
 use super::report::LoadSummary;
 
-/// One kind of requests in a plan.
+/// Requests of one client account with similar lengths, sent at a constant mean rate.
 #[derive(Clone, Debug)]
 pub struct RequestProfile {
     /// Client account.
     pub account: ClientAccount,
-    /// Requests a second.
+    /// Mean rate, in requests per second.
     pub rate: f64,
     /// Shortest prompt, in tokens.
     pub min_tokens: u64,
     /// Longest prompt, in tokens.
     pub max_tokens: u64,
-    /// Kind, for rules.
+    /// Kind of the requests, matched by rules.
     pub kind: String,
-    /// When one request is sent whatever the rate, after the start.
+    /// Time after the start at which one more request is sent regardless of the rate.
     pub extra_request_at: Option<Duration>,
 }
 
-/// A plan of requests.
+/// The requests of a load run.
 #[derive(Clone, Debug)]
 pub struct LoadPlan {
     /// The model.
     pub model: Model,
-    /// Kinds of requests that run beside each other.
+    /// Profiles of the requests, which are sent concurrently.
     pub profiles: Vec<RequestProfile>,
-    /// How long requests are sent.
+    /// Time during which requests are sent.
     pub duration: Duration,
-    /// Most tokens of an answer.
+    /// Maximum length of an answer, in tokens.
     pub answer_tokens: u64,
-    /// Time until each request's deadline.
+    /// Time from sending a request to its deadline.
     pub deadline: Duration,
-    /// Seed of arrivals and lengths.
+    /// Seed of arrival times, prompt lengths and prompts.
     pub seed: u64,
 }
 
-/// A request of a plan and when it is sent.
+/// A request of a plan and the time at which it is sent.
 struct Arrival {
     at: Duration,
     account: ClientAccount,
     request: CallerRequest,
 }
 
-/// Sends a plan's requests and waits for all their final answers; `on_outcome` sees each.
+/// Sends a plan's requests and waits for all their outcomes; `on_outcome` is called with the
+/// summary so far after each.
 pub async fn run_load<N: Network>(
     http: &HttpClient<N>,
     seeds: &[SocketAddr],
@@ -82,7 +83,7 @@
     report
 }
 
-/// Poisson arrivals of all profiles.
+/// Draws Poisson arrivals for all profiles.
 fn arrivals(plan: &LoadPlan) -> Vec<Arrival> {
     let mut rng = StdRng::seed_from_u64(plan.seed);
     let mut arrivals = Vec::new();
