--- a/crates/azuresaddle-standin/src/answer.rs
+++ b/crates/azuresaddle-standin/src/answer.rs
@@ -1,12 +1,12 @@
-//! Answers that derive from their prompts, so that a caller can tell whether one is its own.
+//! Answers derived from their prompts, so that a caller can verify that it received its own.
 
 use azuresaddle_core::prompt::prompt_digest;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Shortest answer, in tokens, where the request allows it.
+/// Minimum length of an answer in tokens, unless the request's limit is lower.
 const MIN_TOKENS: u64 = 8;
 
-/// The answer that every stand-in engine gives to one prompt.
+/// The answer to one prompt, the same from every stand-in engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Answer {
     digest: u64,
@@ -14,7 +14,7 @@
 }
 
 impl Answer {
-    /// The answer to a prompt of at most `max_tokens`.
+    /// The answer to a prompt, at most `max_tokens` long.
     pub fn new(prompt: &str, max_tokens: u64) -> Self {
         let digest = prompt_digest(prompt);
         let span = max_tokens.saturating_sub(MIN_TOKENS) + 1;
--- a/crates/azuresaddle-standin/src/http_util.rs
+++ b/crates/azuresaddle-standin/src/http_util.rs
@@ -1,4 +1,4 @@
-//! What the stand-ins' HTTP interfaces share.
+//! HTTP helpers shared by the stand-ins.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 use hyper::body::Incoming;
 use serde::de::DeserializeOwned;
 
-/// A request that makes no sense.
+/// Problem reported for an invalid request.
 pub(crate) fn bad_request(detail: impl Into<String>) -> Problem {
     Problem::bad_request(detail)
 }
@@ -29,7 +29,7 @@
         .map(|(_, value)| value.to_owned())
 }
 
-/// Reads a JSON body.
+/// Reads a JSON body of at most `limit` bytes.
 pub(crate) async fn read_json<T: DeserializeOwned>(
     req: Request<Incoming>,
     limit: usize,
@@ -41,13 +41,13 @@
     serde_json::from_slice(&bytes).map_err(|e| bad_request(e.to_string()))
 }
 
-/// Longest wait for a small answer.
+/// Timeout of a `GET` with a small response, for the head and for the body.
 const SMALL_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Most bytes of a small answer.
+/// Maximum size of a small response body, in bytes.
 const SMALL_BYTES: usize = 64 << 10;
 
-/// Status and body of a `GET`; `None` where there is no answer.
+/// Status and body of a `GET`; `None` if there is no response in time.
 async fn get_small(addr: SocketAddr, path: &str) -> Option<(u16, Bytes)> {
     let client = HttpClient::new(TcpNetwork, Spawner::current());
     let req = Request::builder().uri(path).body(Full::default()).ok()?;
@@ -57,7 +57,7 @@
     Some((status, body.ok()?))
 }
 
-/// Status of a `GET`; `None` where there is no answer.
+/// Status of a `GET`; `None` if there is no response in time.
 pub(crate) async fn get_status(addr: SocketAddr, path: &str) -> Option<u16> {
     Some(get_small(addr, path).await?.0)
 }
--- a/crates/azuresaddle-standin/src/lib.rs
+++ b/crates/azuresaddle-standin/src/lib.rs
@@ -1,7 +1,7 @@
 //! Stand-ins for the platform and the targets, a load generator, a demo and an experiment tool.
 //!
-//! Every stand-in is a small process with flags, a seed, and faults that are switched over HTTP
-//! while it runs. The same code runs on an in-memory network in tests.
+//! Every stand-in is a small process that is configured by flags and a seed; its faults are
+//! switched on and off over HTTP at run time. Tests run the same code on an in-memory network.
 
 pub mod answer;
 pub mod capacity;
--- a/crates/azuresaddle-standin/src/main.rs
+++ b/crates/azuresaddle-standin/src/main.rs
@@ -6,7 +6,7 @@
 
 use clap::Command;
 
-/// Exit code of a run that failed.
+/// Exit code of a failed run.
 const EXIT_FAILED: u8 = 1;
 
 fn main() -> ExitCode {
--- a/crates/azuresaddle-standin/src/rate_limit_check.rs
+++ b/crates/azuresaddle-standin/src/rate_limit_check.rs
@@ -1,25 +1,26 @@
-//! What a target that limits its rate may get from all nodes together.
+//! Checks how many requests a rate-limited target receives from all nodes together.
 
 use std::time::Duration;
 
-/// Time after the first announcement of a limit from which nodes must follow it.
+/// Time after the first announcement of a limit by which nodes must comply with it.
 pub const ADJUSTMENT_TIME: Duration = Duration::from_secs(3);
 
-/// Time over which requests are counted, wherever it begins.
+/// Length of the window in which requests are counted; the check holds for every window.
 pub const WINDOW: Duration = Duration::from_secs(4);
 
-/// Times of the limit that a span may hold.
+/// Number of requests in a window, as a multiple of what the limit permits.
 const RATE_TOLERANCE: f64 = 1.5;
 
-/// Requests that a span may hold beyond that.
+/// Requests that a window may hold in addition.
 const BURST_ALLOWANCE: usize = 5;
 
-/// Most requests that may arrive in a span, for a limit in requests per second.
+/// Maximum number of requests that may arrive in a window, for a limit in requests per second.
 pub fn max_requests_in_window(rate: f64) -> usize {
     (RATE_TOLERANCE * rate * WINDOW.as_secs_f64()) as usize + BURST_ALLOWANCE
 }
 
-/// Most requests that arrived in one span; times since any common moment, in their order.
+/// Largest number of requests that arrived in any one window. The arrival times are sorted and
+/// relative to any common start.
 pub fn peak_requests_in_window(arrivals: &[Duration]) -> usize {
     let in_window = |(n, first): (usize, &Duration)| {
         let rest = arrivals[n..].iter();
