--- a/crates/azuresaddle-standin/src/cmd/args.rs
+++ b/crates/azuresaddle-standin/src/cmd/args.rs
@@ -1,4 +1,4 @@
-//! Arguments that several subcommands share.
+//! Arguments and helpers shared by the subcommands.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -7,7 +7,7 @@
 use clap::{Arg, ArgAction, ArgMatches, value_parser};
 use tokio::runtime::Runtime;
 
-/// The address to listen on.
+/// The `--listen` argument, an address.
 pub(crate) fn listen(default: &'static str) -> Arg {
     Arg::new("listen")
         .long("listen")
@@ -17,17 +17,17 @@
         .help("Address to listen on")
 }
 
-/// The seed.
+/// The `--seed` argument.
 pub(crate) fn seed() -> Arg {
     Arg::new("seed")
         .long("seed")
         .value_name("N")
         .value_parser(value_parser!(u64))
         .default_value("1")
-        .help("Seed of everything that is random")
+        .help("Seed of the random number generators")
 }
 
-/// Where to write a plot.
+/// The `--plot` argument, the file to write a plot to.
 pub(crate) fn plot(help: &'static str) -> Arg {
     Arg::new("plot")
         .long("plot")
@@ -36,35 +36,36 @@
         .help(help)
 }
 
-/// Whether to print JSON in place of a table.
+/// The `--json` flag, which prints JSON instead of a table.
 pub(crate) fn json() -> Arg {
     Arg::new("json")
         .long("json")
         .action(ArgAction::SetTrue)
-        .help("Print the figures as JSON")
+        .help("Print the results as JSON")
 }
 
-/// A required or defaulted value.
+/// Value of an argument that is required or has a default.
 pub(crate) fn get<T: Clone + Send + Sync + 'static>(args: &ArgMatches, name: &str) -> T {
     args.get_one::<T>(name)
         .cloned()
         .expect("the argument has a default or is required")
 }
 
-/// A runtime with all features.
+/// Builds a multi-threaded Tokio runtime with I/O and timers.
 pub(crate) fn runtime() -> Result<Runtime> {
     Ok(tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build()?)
 }
 
-/// Prints a line of results; a closed pipe ends the output, not the process.
+/// Prints a line to standard output. Write errors, such as a closed pipe, are ignored so that the
+/// process goes on.
 pub(crate) fn print_line(line: &str) {
     use std::io::Write;
     let _ = writeln!(std::io::stdout(), "{line}");
 }
 
-/// Serves until the process is told to stop.
+/// Waits for Ctrl-C.
 pub(crate) async fn wait_for_shutdown() -> Result<()> {
     tokio::signal::ctrl_c().await?;
     Ok(())
--- a/crates/azuresaddle-standin/src/cmd/demo.rs
+++ b/crates/azuresaddle-standin/src/cmd/demo.rs
@@ -1,4 +1,4 @@
-//! `demo`: the whole system in one process.
+//! `demo`: runs the whole system in one process.
 
 use anyhow::{Result, ensure};
 use azuresaddle_standin::demo::run_demo;
--- a/crates/azuresaddle-standin/src/cmd/engine.rs
+++ b/crates/azuresaddle-standin/src/cmd/engine.rs
@@ -1,4 +1,4 @@
-//! `engine`: a model engine.
+//! `engine`: runs the stand-in of a model engine.
 
 use std::time::Duration;
 
@@ -12,39 +12,39 @@
 
 pub(crate) fn make_subcommand() -> Command {
     Command::new("engine")
-        .about("Stands in for a model engine; PUT /faults switches faults")
+        .about("Stands in for a model engine; PUT /faults sets the active faults")
         .arg(listen("127.0.0.1:0"))
         .arg(number("memory-tokens", "400000", "Memory, in tokens"))
         .arg(number(
             "prefill-rate",
             "40000",
-            "Prefill rate, in tokens a second",
+            "Prefill rate, in tokens per second",
         ))
         .arg(number(
             "decode-step-ms",
             "20",
-            "Time of one decode step, in milliseconds",
+            "Duration of a decode step with a single stream, in milliseconds",
         ))
         .arg(number(
             "cache-blocks",
             "256",
-            "Blocks of the prefix cache, 1024 tokens each",
+            "Capacity of the prefix cache, in blocks of 1024 tokens",
         ))
         .arg(number(
             "load-lag-ms",
             "500",
-            "Age of the load report, in milliseconds",
+            "Delay of the load report, in milliseconds",
         ))
         .arg(number(
             "incarnation",
             "1",
-            "Incarnation; give a higher one after each restart",
+            "Incarnation; must be higher after each restart",
         ))
         .arg(
             Arg::new("ignore-fencing")
                 .long("ignore-fencing")
                 .action(ArgAction::SetTrue)
-                .help("Carry out orders with an old fencing number"),
+                .help("Accept requests with an outdated fencing token"),
         )
 }
 
--- a/crates/azuresaddle-standin/src/cmd/hosts.rs
+++ b/crates/azuresaddle-standin/src/cmd/hosts.rs
@@ -1,4 +1,4 @@
-//! `hosts`: the host list.
+//! `hosts`: runs the stand-in of the host list.
 
 use std::time::Duration;
 
@@ -36,7 +36,7 @@
                 .value_name("N")
                 .value_parser(value_parser!(u64))
                 .default_value("1000")
-                .help("Time after which a change shows, in milliseconds"),
+                .help("Time after which a change becomes visible, in milliseconds"),
         )
 }
 
--- a/crates/azuresaddle-standin/src/cmd/load.rs
+++ b/crates/azuresaddle-standin/src/cmd/load.rs
@@ -1,4 +1,4 @@
-//! `load`: callers.
+//! `load`: runs the load generator against running nodes.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 
 pub(crate) fn make_subcommand() -> Command {
     Command::new("load")
-        .about("Sends requests of unlike lengths, verifies every token and reports times")
+        .about("Sends requests of widely varying lengths, verifies every token and reports times")
         .arg(
             Arg::new("node")
                 .long("node")
@@ -22,33 +22,33 @@
                 .value_parser(value_parser!(SocketAddr))
                 .action(ArgAction::Append)
                 .required(true)
-                .help("A node's address for callers; may be given several times"),
+                .help("Address at which a node accepts callers; may be given several times"),
         )
-        .arg(text("model", "m", "The model"))
+        .arg(text("model", "m", "Model to request"))
         .arg(float(
             "short-rate",
             "8",
-            "Short prompts (1k to 4k tokens) a second",
+            "Short prompts (1k to 4k tokens) per second",
         ))
         .arg(float(
             "long-rate",
             "0.5",
-            "Long prompts (20k to 350k tokens) a second",
+            "Long prompts (20k to 350k tokens) per second",
         ))
         .arg(float(
             "huge-rate",
             "0.05",
-            "Prompts over 800k tokens a second",
+            "Huge prompts (800k to 1M tokens) per second",
         ))
         .arg(float(
             "seconds",
             "20",
-            "How long requests are sent, in seconds",
+            "Time during which requests are sent, in seconds",
         ))
         .arg(float(
             "deadline-seconds",
             "60",
-            "Time until each deadline, in seconds",
+            "Time until the deadline of each request, in seconds",
         ))
         .arg(seed())
 }
--- a/crates/azuresaddle-standin/src/cmd/mod.rs
+++ b/crates/azuresaddle-standin/src/cmd/mod.rs
@@ -1,4 +1,4 @@
-//! Subcommands, one file each.
+//! Subcommands, one module each.
 
 pub(crate) mod args;
 pub(crate) mod capacity;
--- a/crates/azuresaddle-standin/src/cmd/service.rs
+++ b/crates/azuresaddle-standin/src/cmd/service.rs
@@ -1,4 +1,4 @@
-//! `service`: a plain service.
+//! `service`: runs the stand-in of a plain service.
 
 use anyhow::{Context, Result};
 use azuresaddle_core::net::TcpNetwork;
--- a/crates/azuresaddle-standin/src/cmd/soak.rs
+++ b/crates/azuresaddle-standin/src/cmd/soak.rs
@@ -1,4 +1,4 @@
-//! `soak`: real node processes under faults from outside.
+//! `soak`: runs node processes, injects faults from outside, and checks the answers to callers.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -11,14 +11,14 @@
 
 pub(crate) fn make_subcommand() -> Command {
     Command::new("soak")
-        .about("Runs nodes as processes, strikes them with faults, and checks what callers see")
+        .about("Runs nodes as processes, injects faults, and checks what callers receive")
         .arg(
             Arg::new("program")
                 .long("program")
                 .value_name("FILE")
                 .value_parser(value_parser!(PathBuf))
                 .default_value("target/release/azuresaddle")
-                .help("The program of the nodes"),
+                .help("Executable of the nodes"),
         )
         .arg(
             Arg::new("dir")
@@ -26,29 +26,37 @@
                 .value_name("DIR")
                 .value_parser(value_parser!(PathBuf))
                 .required(true)
-                .help("Directory for settings and logs; a directory a seed is made in it"),
+                .help("Directory for settings and logs, with a subdirectory for each seed"),
         )
         .arg(number("seed", "1", "First seed of callers and faults"))
-        .arg(number("seeds", "1", "Number of seeds, one after the other"))
-        .arg(number("seconds", "15", "Time of the faults, in seconds"))
-        .arg(number("callers", "12", "Callers that ask without pause"))
+        .arg(number("seeds", "1", "Number of consecutive seeds to run"))
+        .arg(number(
+            "seconds",
+            "15",
+            "Duration of the faults, in seconds",
+        ))
+        .arg(number(
+            "callers",
+            "12",
+            "Number of callers that send requests without pause",
+        ))
         .arg(
             Arg::new("restarts")
                 .long("restarts")
                 .action(ArgAction::SetTrue)
-                .help("Targets also start again under their names"),
+                .help("Also restart targets under their old names"),
         )
         .arg(
             Arg::new("store-returns")
                 .long("store-returns")
                 .action(ArgAction::SetTrue)
-                .help("The store also comes back from older copies"),
+                .help("Also restore the store from older copies"),
         )
         .arg(
             Arg::new("signals")
                 .long("signals")
                 .action(ArgAction::SetTrue)
-                .help("Targets also limit their rate, drain, or ask to back off"),
+                .help("Also let targets limit their rate, drain, or ask to back off"),
         )
         .arg(
             Arg::new("crashers")
@@ -56,7 +64,7 @@
                 .value_name("N")
                 .value_parser(value_parser!(u64))
                 .default_value("0")
-                .help("Callers that send a request again and again which ends its targets"),
+                .help("Number of callers that keep sending a request that crashes its targets"),
         )
         .arg(
             Arg::new("nodes")
@@ -64,7 +72,7 @@
                 .value_name("N")
                 .value_parser(value_parser!(u8).range(1..=60))
                 .default_value("3")
-                .help("Node processes"),
+                .help("Number of node processes"),
         )
 }
 
@@ -111,7 +119,7 @@
         }
     }
     if !failed_seeds.is_empty() {
-        bail!("promises broken with the seeds {failed_seeds:?}");
+        bail!("checks failed for the seeds {failed_seeds:?}");
     }
     Ok(())
 }
--- a/crates/azuresaddle-standin/src/cmd/store.rs
+++ b/crates/azuresaddle-standin/src/cmd/store.rs
@@ -1,4 +1,4 @@
-//! `store`: the key-value service.
+//! `store`: runs the stand-in of the key-value service.
 
 use anyhow::{Context, Result};
 use azuresaddle_core::net::TcpNetwork;
@@ -10,7 +10,7 @@
 
 pub(crate) fn make_subcommand() -> Command {
     Command::new("store")
-        .about("Stands in for the key-value service; PUT /faults switches faults")
+        .about("Stands in for the key-value service; PUT /faults sets the active faults")
         .arg(listen("127.0.0.1:7100"))
 }
 
