--- a/crates/azuresaddle-standin/src/cmd/soak.rs
+++ b/crates/azuresaddle-standin/src/cmd/soak.rs
@@ -107,7 +107,7 @@
             },
             faults: FaultOptions {
                 has_restarts: args.get_flag("restarts"),
-                has_store_returns: args.get_flag("store-returns"),
+                has_store_rollbacks: args.get_flag("store-returns"),
                 has_signals: args.get_flag("signals"),
             },
             crashers: get(args, "crashers"),
--- a/crates/azuresaddle-standin/src/platform/caller.rs
+++ b/crates/azuresaddle-standin/src/platform/caller.rs
@@ -19,7 +19,7 @@
 
 /// What a caller asks.
 #[derive(Clone, Debug)]
-pub struct Asked {
+pub struct CallerRequest {
     /// Identifies the attempt.
     pub attempt: String,
     /// Path.
@@ -33,7 +33,7 @@
     /// Body of the request.
     pub body: Bytes,
     /// Time that the caller waits.
-    pub patience: Duration,
+    pub timeout: Duration,
 }
 
 /// A final answer.
@@ -42,7 +42,7 @@
     /// Status.
     pub status: StatusCode,
     /// Signature of the target, where there is one.
-    pub seal: Option<String>,
+    pub signature: Option<String>,
     /// Body.
     pub body: String,
     /// Whether a time to come back was told.
@@ -80,27 +80,35 @@
     /// # Errors
     /// Where there is no final answer, or a successful one that is not whole or belongs to another
     /// request.
-    pub async fn ask(&mut self, node: SocketAddr, asked: &Asked) -> Result<Answer, CallerError> {
-        let result = tokio::time::timeout(asked.patience, self.exchange(node, asked)).await;
+    pub async fn ask(
+        &mut self,
+        node: SocketAddr,
+        request: &CallerRequest,
+    ) -> Result<Answer, CallerError> {
+        let result = tokio::time::timeout(request.timeout, self.exchange(node, request)).await;
         let result = result.unwrap_or(Err(CallerError::Timeout));
         if result.is_err() {
             self.connection = None;
         }
         let answer = result?;
-        check(asked, &answer)?;
+        check(request, &answer)?;
         Ok(answer)
     }
 
-    async fn exchange(&mut self, node: SocketAddr, asked: &Asked) -> Result<Answer, CallerError> {
+    async fn exchange(
+        &mut self,
+        node: SocketAddr,
+        request: &CallerRequest,
+    ) -> Result<Answer, CallerError> {
         let tx = self.connect(node).await?;
-        let response = tx.send_request(request(asked)).await;
+        let response = tx.send_request(http_request(request)).await;
         let response = response.map_err(|_| CallerError::BrokenOff)?;
         let (parts, body) = response.into_parts();
         let body = body.collect().await.map_err(|_| CallerError::BrokenOff)?;
-        let seal = parts.headers.get(headers::SIGNATURE);
+        let signature = parts.headers.get(headers::SIGNATURE);
         Ok(Answer {
             status: parts.status,
-            seal: seal.and_then(|v| v.to_str().ok()).map(str::to_owned),
+            signature: signature.and_then(|v| v.to_str().ok()).map(str::to_owned),
             body: String::from_utf8_lossy(&body.to_bytes()).into_owned(),
             has_retry_after: parts.headers.contains_key(RETRY_AFTER),
             signals: decode_signals(&parts.headers).signals,
@@ -131,34 +139,34 @@
     }
 }
 
-fn request(asked: &Asked) -> Request<Full<Bytes>> {
-    let mut req = Request::new(Full::new(asked.body.clone()));
+fn http_request(request: &CallerRequest) -> Request<Full<Bytes>> {
+    let mut req = Request::new(Full::new(request.body.clone()));
     *req.method_mut() = Method::POST;
-    *req.uri_mut() = asked.path.parse().expect("paths of tests are valid");
+    *req.uri_mut() = request.path.parse().expect("paths of tests are valid");
     let map = req.headers_mut();
     let text = |value: String| HeaderValue::try_from(value).expect("values of tests are ASCII");
-    map.insert(HOST, text(asked.host.clone()));
-    map.insert(AUTHORIZATION, text(format!("Token {}", asked.key)));
-    map.insert(headers::ATTEMPT_ID, text(asked.attempt.clone()));
-    let ms = asked.patience.as_millis();
+    map.insert(HOST, text(request.host.clone()));
+    map.insert(AUTHORIZATION, text(format!("Token {}", request.key)));
+    map.insert(headers::ATTEMPT_ID, text(request.attempt.clone()));
+    let ms = request.timeout.as_millis();
     map.insert(headers::TIME_LEFT_MS, text(ms.to_string()));
-    if let Some((prompt, answer)) = asked.tokens {
+    if let Some((prompt, answer)) = request.tokens {
         map.insert(headers::TOKEN_COUNTS, text(format!("{prompt},{answer}")));
     }
     req
 }
 
 /// Checks that a successful answer is whole and the one to the request.
-fn check(asked: &Asked, answer: &Answer) -> Result<(), CallerError> {
+fn check(request: &CallerRequest, answer: &Answer) -> Result<(), CallerError> {
     if !answer.status.is_success() {
         return Ok(());
     }
-    let seal = answer.seal.as_deref().unwrap_or("");
-    if !seal.ends_with(&asked.attempt) {
-        return Err(CallerError::Wrong(format!("seal {seal:?}")));
+    let signature = answer.signature.as_deref().unwrap_or("");
+    if !signature.ends_with(&request.attempt) {
+        return Err(CallerError::Wrong(format!("signature {signature:?}")));
     }
-    let expected = match asked.tokens {
-        None => plain_body(&asked.attempt),
+    let expected = match request.tokens {
+        None => plain_body(&request.attempt),
         Some((_, answer)) => (1..=answer.div_ceil(STEPS_PER_EVENT))
             .map(event_text)
             .collect(),
--- a/crates/azuresaddle-standin/src/platform/configuration.rs
+++ b/crates/azuresaddle-standin/src/platform/configuration.rs
@@ -32,7 +32,7 @@
 
 /// A client account.
 #[derive(Clone, Debug)]
-pub struct Tenancy {
+pub struct AccountSpec {
     /// Name.
     pub name: String,
     /// Keys.
@@ -41,7 +41,7 @@
 
 /// A configuration.
 #[derive(Clone, Debug)]
-pub struct WrittenConfiguration {
+pub struct ConfigurationSpec {
     /// Version.
     pub version: u64,
     /// Host of all routes.
@@ -51,12 +51,12 @@
     /// Services.
     pub services: Vec<ServiceSpec>,
     /// Client accounts.
-    pub accounts: Vec<Tenancy>,
+    pub accounts: Vec<AccountSpec>,
     /// Longest body that a caller may send.
     pub max_body_bytes: u64,
 }
 
-impl WrittenConfiguration {
+impl ConfigurationSpec {
     /// Text of the document.
     pub fn to_json(&self) -> String {
         let routes: Vec<Value> = self.routes.iter().map(|r| self.route_json(r)).collect();
--- a/crates/azuresaddle-standin/src/platform/crashes.rs
+++ b/crates/azuresaddle-standin/src/platform/crashing_requests.rs
@@ -14,40 +14,40 @@
 
 /// Time for which an ending target takes no connection while those that it has still stand, so that a caller
 /// whose connection breaks finds its port closed, as after the end of a process.
-const CLOSED_BEFORE: Duration = Duration::from_millis(10);
+const CLOSE_DELAY: Duration = Duration::from_millis(10);
 
 /// Bodies of requests that end their targets, with the times at which each has reached one; cheap to clone.
 #[derive(Clone, Debug, Default)]
-pub struct Crashes(Arc<Mutex<HashMap<Bytes, Vec<Instant>>>>);
+pub struct CrashingRequests(Arc<Mutex<HashMap<Bytes, Vec<Instant>>>>);
 
-impl Crashes {
+impl CrashingRequests {
     /// Makes every target end that runs a request with this body.
-    pub fn make_crash(&self, body: Bytes) {
+    pub fn add(&self, body: Bytes) {
         self.lock().entry(body).or_default();
     }
 
     /// Number of targets that requests with this body have reached.
-    pub fn reached(&self, body: &Bytes) -> usize {
+    pub fn targets_reached(&self, body: &Bytes) -> usize {
         self.lock().get(body).map_or(0, Vec::len)
     }
 
     /// When requests with each such body reached targets.
-    pub fn all(&self) -> Vec<Vec<Instant>> {
+    pub fn arrival_times(&self) -> Vec<Vec<Instant>> {
         self.lock().values().cloned().collect()
     }
 
     /// Ends a target soon where it begins to run such a request; false for any other.
-    pub(super) fn on_run(&self, target: &Arc<Target>, body: &Bytes) -> bool {
-        let mut reached = self.lock();
-        let Some(times) = reached.get_mut(body) else {
+    pub(super) fn crash_if_listed(&self, target: &Arc<Target>, body: &Bytes) -> bool {
+        let mut requests = self.lock();
+        let Some(times) = requests.get_mut(body) else {
             return false;
         };
         times.push(Instant::now());
         let target = Arc::clone(target);
         tokio::spawn(async move {
             tokio::time::sleep(CRASH_AFTER).await;
-            target.closed.cancel();
-            tokio::time::sleep(CLOSED_BEFORE).await;
+            target.accept_stopped.cancel();
+            tokio::time::sleep(CLOSE_DELAY).await;
             target.stopped.cancel();
         });
         true
--- a/crates/azuresaddle-standin/src/platform/demo.rs
+++ b/crates/azuresaddle-standin/src/platform/demo.rs
@@ -12,8 +12,8 @@
 use tokio::runtime::Handle;
 use tokio::time::Instant;
 
-use super::caller::{Asked, Caller};
-use super::world::{World, WorldOptions};
+use super::caller::{Caller, CallerRequest};
+use super::stand_in::{PlatformOptions, StandInPlatform};
 use crate::soak::next_port;
 
 /// Number of nodes.
@@ -33,7 +33,7 @@
 
 /// What the demo measured.
 #[derive(Clone, Debug, Default)]
-pub struct PlatformDemo {
+pub struct PlatformDemoReport {
     /// Whole answers.
     pub whole: u64,
     /// Requests without a whole answer.
@@ -48,19 +48,19 @@
 ///
 /// # Errors
 /// Where something can't be started.
-pub async fn run_platform_demo() -> Result<PlatformDemo> {
-    let world = World::open(WorldOptions {
+pub async fn run_platform_demo() -> Result<PlatformDemoReport> {
+    let platform = StandInPlatform::open(PlatformOptions {
         engines: 6,
         plain: 2,
     })
     .await?;
-    let nodes = open_nodes(&world).await?;
+    let nodes = open_nodes(&platform).await?;
     tokio::time::sleep(SETTLE).await;
-    let mut demo = PlatformDemo::default();
+    let mut demo = PlatformDemoReport::default();
     demo.alone_p95_ms = short_prompts(&nodes, 1, &mut demo).await;
     let long = LONG_PROMPTS.iter().enumerate().map(|(n, tokens)| {
-        let asked = asked(9000 + n as u64, Some((*tokens, 46 * 4)));
-        ask(nodes[n % nodes.len()], asked)
+        let request = caller_request(9000 + n as u64, Some((*tokens, 46 * 4)));
+        ask(nodes[n % nodes.len()], request)
     });
     let mut mixed = demo.clone();
     let (long, p95) = tokio::join!(join_all(long), short_prompts(&nodes, 2, &mut mixed));
@@ -71,7 +71,7 @@
     Ok(mixed)
 }
 
-impl PlatformDemo {
+impl PlatformDemoReport {
     fn count(&mut self, is_whole: bool) {
         if is_whole {
             self.whole += 1;
@@ -81,14 +81,14 @@
     }
 }
 
-async fn open_nodes(world: &World) -> Result<Vec<SocketAddr>> {
+async fn open_nodes(platform: &StandInPlatform) -> Result<Vec<SocketAddr>> {
     let port = next_port();
     let ips: Vec<Ipv4Addr> = (0..NODES)
         .map(|n| Ipv4Addr::new(127, 0, 1, 10 + n))
         .collect();
     let mut callers = Vec::new();
     for (n, ip) in ips.iter().enumerate() {
-        let text = world.settings(&format!("n{n}"), *ip, port, &ips[..1]);
+        let text = platform.settings(&format!("n{n}"), *ip, port, &ips[..1]);
         let settings = decode_settings(&text)?;
         callers.push(settings.listen.callers);
         let options = NodeOptions::default();
@@ -101,12 +101,12 @@
 }
 
 /// Sends short prompts and returns the 95th percentile of the time to a whole answer.
-async fn short_prompts(nodes: &[SocketAddr], part: u64, demo: &mut PlatformDemo) -> u64 {
+async fn short_prompts(nodes: &[SocketAddr], part: u64, demo: &mut PlatformDemoReport) -> u64 {
     let answers = (0..SHORT_PROMPTS).map(|n| async move {
         tokio::time::sleep(INTERVAL * n as u32).await;
         let tokens = Some((1000 + n * 50, 46 * 5));
-        let asked = asked(part * 1000 + n, tokens);
-        ask(nodes[n as usize % nodes.len()], asked).await
+        let request = caller_request(part * 1000 + n, tokens);
+        ask(nodes[n as usize % nodes.len()], request).await
     });
     let mut times: Vec<u64> = Vec::new();
     for answer in join_all(answers).await {
@@ -119,20 +119,20 @@
 }
 
 /// Time to a whole answer; `None` where there is none.
-async fn ask(node: SocketAddr, asked: Asked) -> Option<Duration> {
+async fn ask(node: SocketAddr, request: CallerRequest) -> Option<Duration> {
     let began = Instant::now();
-    let answer = Caller::default().ask(node, &asked).await.ok()?;
+    let answer = Caller::default().ask(node, &request).await.ok()?;
     answer.status.is_success().then(|| began.elapsed())
 }
 
-fn asked(number: u64, tokens: Option<(u64, u64)>) -> Asked {
-    Asked {
+fn caller_request(number: u64, tokens: Option<(u64, u64)>) -> CallerRequest {
+    CallerRequest {
         attempt: format!("{number:016x}"),
         path: "/ask/1".to_owned(),
         host: "desk.example".to_owned(),
         key: "key-1".to_owned(),
         tokens,
         body: "{}".into(),
-        patience: Duration::from_secs(8),
+        timeout: Duration::from_secs(8),
     }
 }
--- a/crates/azuresaddle-standin/src/platform/engine.rs
+++ b/crates/azuresaddle-standin/src/platform/engine.rs
@@ -16,8 +16,8 @@
 use tokio::sync::{Notify, mpsc};
 use tokio::time::Instant;
 
-use super::body::{Piece, PieceBody};
-use super::target::{Target, TargetFault, Work, text_of, whole_body};
+use super::body::{ChannelBody, Chunk};
+use super::target::{RequestHandler, Target, TargetFault, header_text, read_body};
 use crate::passes::EngineModel;
 
 /// Time that a stalling engine adds to each pass.
@@ -28,9 +28,9 @@
 
 /// All engines of a service by address, for prompts that several read.
 #[derive(Clone, Default)]
-pub(super) struct Fleet(Arc<Mutex<HashMap<SocketAddr, Arc<Engine>>>>);
+pub(super) struct EngineRegistry(Arc<Mutex<HashMap<SocketAddr, Arc<Engine>>>>);
 
-impl Fleet {
+impl EngineRegistry {
     pub(super) fn add(&self, addr: SocketAddr, engine: Arc<Engine>) {
         self.lock().insert(addr, engine);
     }
@@ -54,13 +54,13 @@
 
 /// A stream on an engine.
 struct Stream {
-    pieces: mpsc::UnboundedSender<Piece>,
+    chunks: mpsc::UnboundedSender<Chunk>,
     prompt_tokens: u64,
     answer_tokens: u64,
     next_event: u64,
     parts_left: usize,
     /// Whether a fault has silenced it for good.
-    is_mute: bool,
+    is_silent: bool,
 }
 
 struct State {
@@ -73,14 +73,18 @@
 /// One engine.
 pub(super) struct Engine {
     spec: EngineSpec,
-    fleet: Fleet,
+    registry: EngineRegistry,
     state: Mutex<State>,
-    work: Notify,
+    work_available: Notify,
 }
 
 impl Engine {
     /// Starts an engine.
-    pub(super) fn spawn(spec: EngineSpec, fleet: Fleet, target: Arc<Target>) -> Arc<Self> {
+    pub(super) fn spawn(
+        spec: EngineSpec,
+        registry: EngineRegistry,
+        target: Arc<Target>,
+    ) -> Arc<Self> {
         let engine = Arc::new(Self {
             state: Mutex::new(State {
                 model: EngineModel::new(spec.clone(), 1.0),
@@ -89,8 +93,8 @@
                 next_stream: 0,
             }),
             spec,
-            fleet,
-            work: Notify::new(),
+            registry,
+            work_available: Notify::new(),
         });
         let passes = Arc::clone(&engine);
         tokio::spawn(async move {
@@ -115,7 +119,7 @@
         loop {
             let ms = self.lock().model.begin_pass();
             let Some(ms) = ms else {
-                self.work.notified().await;
+                self.work_available.notified().await;
                 continue;
             };
             let ms = ms * pace_of(target);
@@ -160,17 +164,17 @@
     }
 
     /// Takes a request: a stream of events.
-    async fn stream(&self, target: &Arc<Target>, req: Request<Incoming>) -> Response<PieceBody> {
+    async fn stream(&self, target: &Arc<Target>, req: Request<Incoming>) -> Response<ChannelBody> {
         let map = req.headers().clone();
-        let body = whole_body(req).await;
-        let attempt = text_of(&map, headers::ATTEMPT_ID.as_str());
+        let body = read_body(req).await;
+        let attempt = header_text(&map, headers::ATTEMPT_ID.as_str());
         let tokens = map
             .get(headers::TOKEN_COUNTS)
             .and_then(headers::parse_token_counts);
         let Some((prompt_tokens, answer_tokens)) = tokens else {
             return target.decline(StatusCode::BAD_REQUEST);
         };
-        let last: u64 = text_of(&map, headers::LAST_EVENT_ID.as_str())
+        let last: u64 = header_text(&map, headers::LAST_EVENT_ID.as_str())
             .parse()
             .unwrap_or(0);
         let helpers = match self.helpers(&map) {
@@ -188,12 +192,12 @@
             state.next_stream += 1;
             let id = state.next_stream;
             let stream = Stream {
-                pieces: tx,
+                chunks: tx,
                 prompt_tokens,
                 answer_tokens: answer_tokens.saturating_sub(last * steps).max(1),
                 next_event: last + 1,
                 parts_left: 1,
-                is_mute: false,
+                is_silent: false,
             };
             state.streams.insert(id, stream);
             state.model.add_prefill(id, prompt_tokens, parts, false);
@@ -204,17 +208,17 @@
             let id = state.next_stream;
             state.model.add_prefill(id, prompt_tokens, parts, true);
             drop(state);
-            helper.work.notify_one();
+            helper.work_available.notify_one();
         }
-        target.begin(&map);
-        target.crashes.on_run(target, &body);
-        self.work.notify_one();
-        target.answer(&attempt, PieceBody(rx))
+        target.record_run(&map);
+        target.crashing_requests.crash_if_listed(target, &body);
+        self.work_available.notify_one();
+        target.answer(&attempt, ChannelBody(rx))
     }
 
     /// Engines that read parts; `None` where one is gone or lacks its reservation.
     fn helpers(&self, map: &hyper::HeaderMap) -> Option<Vec<Arc<Self>>> {
-        let value = text_of(map, headers::HELPERS.as_str());
+        let value = header_text(map, headers::HELPERS.as_str());
         let entries = value.split(',').filter(|e| !e.is_empty());
         entries
             .map(|entry| {
@@ -222,7 +226,7 @@
                     Some((addr, reservation)) => (addr, Some(reservation)),
                     None => (entry, None),
                 };
-                let engine = self.fleet.get(addr.parse().ok()?)?;
+                let engine = self.registry.get(addr.parse().ok()?)?;
                 if let Some(name) = reservation
                     && !engine.lock().reservations.contains_key(name)
                 {
@@ -238,7 +242,7 @@
         let state = self.lock();
         json!({
             "phase": "unified",
-            "born": target.born,
+            "born": target.started_ms,
             "busy": false,
             "sequence": 0,
             "queued": 0,
@@ -262,23 +266,23 @@
             return false;
         };
         match target.fault() {
-            TargetFault::Mute | TargetFault::AnswersLost => stream.is_mute = true,
-            TargetFault::BreaksOff if stream.next_event > 1 => {
+            TargetFault::Silent | TargetFault::AnswersLost => stream.is_silent = true,
+            TargetFault::AbortsAnswers if stream.next_event > 1 => {
                 let half = Bytes::from(format!("id: {}\nda", stream.next_event));
                 // Dropping the stream breaks the body off inside the event.
-                let _ = stream.pieces.send(Piece::Data(half));
+                let _ = stream.chunks.send(Chunk::Data(half));
                 return false;
             }
             _ => {}
         }
-        if stream.is_mute {
+        if stream.is_silent {
             return true;
         }
         let event = event_text(stream.next_event);
         stream.next_event += 1;
-        let mut is_open = stream.pieces.send(Piece::Data(Bytes::from(event))).is_ok();
+        let mut is_open = stream.chunks.send(Chunk::Data(Bytes::from(event))).is_ok();
         if is_last {
-            is_open &= stream.pieces.send(Piece::End).is_ok();
+            is_open &= stream.chunks.send(Chunk::End).is_ok();
         }
         is_open && !is_last
     }
@@ -297,22 +301,22 @@
 }
 
 /// Serves an engine's calls.
-pub(super) struct EngineWork(pub(super) Arc<Engine>);
+pub(super) struct EngineHandler(pub(super) Arc<Engine>);
 
-impl Work for EngineWork {
+impl RequestHandler for EngineHandler {
     async fn run(
         self: Arc<Self>,
         target: Arc<Target>,
         req: Request<Incoming>,
-    ) -> Response<PieceBody> {
+    ) -> Response<ChannelBody> {
         match req.uri().path() {
             RESERVATION_PATH => {
                 let (status, body) = Arc::clone(&self.0).take_order(&target, req).await;
-                let mut response = Response::new(PieceBody::whole(body));
+                let mut response = Response::new(ChannelBody::whole(body));
                 *response.status_mut() = status;
                 response
             }
-            REPORT_PATH => Response::new(PieceBody::whole(self.0.report(&target))),
+            REPORT_PATH => Response::new(ChannelBody::whole(self.0.report(&target))),
             _ => self.0.stream(&target, req).await,
         }
     }
--- a/crates/azuresaddle-standin/src/platform/raw.rs
+++ b/crates/azuresaddle-standin/src/platform/raw.rs
@@ -19,7 +19,7 @@
 
 /// How a target breaks the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RawAnswer {
+pub enum ProtocolFault {
     /// Writes bytes after the answer that belong to no request.
     Surplus,
     /// Writes the answer a second time where the next one is due.
@@ -66,7 +66,7 @@
 pub(super) fn serve_raw(
     listener: TcpListener,
     target: Arc<Target>,
-    answer: RawAnswer,
+    fault: ProtocolFault,
     arrivals: Arrivals,
 ) {
     tokio::spawn(async move {
@@ -74,7 +74,7 @@
             let conn = Connection {
                 stream: BufReader::new(stream),
                 target: Arc::clone(&target),
-                answer,
+                fault,
                 arrivals: arrivals.clone(),
             };
             let stopped = target.stopped.clone();
@@ -92,7 +92,7 @@
 struct Connection {
     stream: BufReader<TcpStream>,
     target: Arc<Target>,
-    answer: RawAnswer,
+    fault: ProtocolFault,
     arrivals: Arrivals,
 }
 
@@ -108,7 +108,7 @@
     async fn run(mut self) -> io::Result<()> {
         loop {
             let head = self.read_head().await?;
-            let is_early = self.answer == RawAnswer::Early;
+            let is_early = self.fault == ProtocolFault::Early;
             if is_early {
                 self.run_and_answer(&head).await?;
                 tokio::time::sleep(EARLY_PAUSE).await;
@@ -163,28 +163,29 @@
         let service = &self.target.service;
         self.target
             .runs
-            .begin(attempt, service, account.as_deref(), *has_key);
+            .record_run(attempt, service, account.as_deref(), *has_key);
         let body = plain_body(attempt);
-        let seal = format!("{}.{attempt}", self.target.id);
+        let signature = format!("{}.{attempt}", self.target.id);
         let id = headers::ATTEMPT_ID;
-        let signature = headers::SIGNATURE;
-        let start = format!("HTTP/1.1 200 OK\r\n{id}: {attempt}\r\n{signature}: {seal}\r\n");
+        let signature_header = headers::SIGNATURE;
+        let start =
+            format!("HTTP/1.1 200 OK\r\n{id}: {attempt}\r\n{signature_header}: {signature}\r\n");
         let framed = format!("{start}content-length: {}\r\n\r\n{body}", body.len());
         let unframed = format!("{start}connection: close\r\n\r\n{body}");
-        let (text, goes_on) = match self.answer {
-            RawAnswer::Surplus => (format!("{framed}HTTP/1.1 200 OK\r\n"), true),
-            RawAnswer::Repeated => (format!("{framed}{framed}"), true),
-            RawAnswer::Early => (framed, true),
-            RawAnswer::Unframed => (unframed, false),
-            RawAnswer::UnframedReset => (unframed[..unframed.len() - 4].to_owned(), false),
-            RawAnswer::Garbage => (
+        let (text, goes_on) = match self.fault {
+            ProtocolFault::Surplus => (format!("{framed}HTTP/1.1 200 OK\r\n"), true),
+            ProtocolFault::Repeated => (format!("{framed}{framed}"), true),
+            ProtocolFault::Early => (framed, true),
+            ProtocolFault::Unframed => (unframed, false),
+            ProtocolFault::UnframedReset => (unframed[..unframed.len() - 4].to_owned(), false),
+            ProtocolFault::Garbage => (
                 "\u{1}\u{2} nothing like an answer\r\n\r\n".to_owned(),
                 false,
             ),
         };
         let stream = self.stream.get_mut();
         stream.write_all(text.as_bytes()).await?;
-        if self.answer == RawAnswer::UnframedReset {
+        if self.fault == ProtocolFault::UnframedReset {
             // The beginning arrives before the reset.
             tokio::time::sleep(Duration::from_millis(20)).await;
             stream.set_zero_linger()?;
--- a/crates/azuresaddle-standin/src/platform/runs.rs
+++ b/crates/azuresaddle-standin/src/platform/runs.rs
@@ -5,7 +5,7 @@
 
 /// Runs of one attempt of a caller.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Run {
+pub struct AttemptRuns {
     /// How often a target began to work on it.
     pub count: u32,
     /// Client account that the target was told.
@@ -18,11 +18,17 @@
 
 /// All runs by attempt; cheap to clone.
 #[derive(Clone, Debug, Default)]
-pub struct Runs(Arc<Mutex<HashMap<String, Run>>>);
+pub struct Runs(Arc<Mutex<HashMap<String, AttemptRuns>>>);
 
 impl Runs {
     /// Notes that a target begins to work on an attempt.
-    pub(super) fn begin(&self, attempt: &str, service: &str, account: Option<&str>, key: bool) {
+    pub(super) fn record_run(
+        &self,
+        attempt: &str,
+        service: &str,
+        account: Option<&str>,
+        key: bool,
+    ) {
         let mut runs = self.lock();
         let run = runs.entry(attempt.to_owned()).or_default();
         run.count += 1;
@@ -32,7 +38,7 @@
     }
 
     /// Runs of an attempt.
-    pub fn of(&self, attempt: &str) -> Run {
+    pub fn of(&self, attempt: &str) -> AttemptRuns {
         self.lock().get(attempt).cloned().unwrap_or_default()
     }
 
@@ -46,7 +52,7 @@
         self.len() == 0
     }
 
-    fn lock(&self) -> MutexGuard<'_, HashMap<String, Run>> {
+    fn lock(&self) -> MutexGuard<'_, HashMap<String, AttemptRuns>> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/azuresaddle-standin/src/platform/world.rs
+++ b/crates/azuresaddle-standin/src/platform/stand_in.rs
@@ -1,8 +1,8 @@
 //! A platform with its store, targets and configuration, on loopback addresses.
 
+mod desired_state;
 mod restart;
-mod store_return;
-mod written;
+mod store_rollback;
 
 use std::collections::HashMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -16,17 +16,17 @@
 use tokio::net::TcpListener;
 use tokio_util::sync::CancellationToken;
 
-use super::configuration::{RouteSpec, ServiceSpec, Tenancy, WrittenConfiguration};
-use super::crashes::Crashes;
-use super::engine::{Engine, EngineWork, Fleet};
-use super::plain::PlainWork;
-use super::raw::{Arrivals, RawAnswer, serve_raw};
+use super::configuration::{AccountSpec, ConfigurationSpec, RouteSpec, ServiceSpec};
+use super::crashing_requests::CrashingRequests;
+use super::engine::{Engine, EngineHandler, EngineRegistry};
+use super::plain::PlainHandler;
+use super::raw::{Arrivals, ProtocolFault, serve_raw};
 use super::runs::Runs;
 use super::store::PlatformStoreModel;
 use super::store_server::StoreServer;
 use super::target::{Target, TargetFault, TargetHandle, serve_target};
-pub use store_return::StoreReturn;
-use written::Written;
+use desired_state::DesiredState;
+pub use store_rollback::StoreRollback;
 
 /// Interval of the targets' heartbeats, in milliseconds.
 const TARGET_HEARTBEAT_MS: u64 = 500;
@@ -34,16 +34,16 @@
 /// Unix milliseconds that targets tell as their first start; only the order of starts counts.
 const FIRST_START_MS: u64 = 1_790_000_000_000;
 
-/// Sizes of a world.
+/// Sizes of a platform.
 #[derive(Clone, Copy, Debug)]
-pub struct WorldOptions {
+pub struct PlatformOptions {
     /// Engines.
     pub engines: usize,
     /// Plain targets.
     pub plain: usize,
 }
 
-impl Default for WorldOptions {
+impl Default for PlatformOptions {
     fn default() -> Self {
         Self {
             engines: 4,
@@ -53,7 +53,7 @@
 }
 
 /// A running platform.
-pub struct World {
+pub struct StandInPlatform {
     /// The store.
     pub store: PlatformStoreModel,
     /// Address of the store.
@@ -65,24 +65,24 @@
     /// What ran.
     pub runs: Runs,
     /// Requests that end their targets.
-    pub crashes: Crashes,
+    pub crashing_requests: CrashingRequests,
     /// The configuration that was written last.
-    pub configuration: WrittenConfiguration,
-    fleet: Fleet,
+    pub configuration: ConfigurationSpec,
+    registry: EngineRegistry,
     models: Vec<Arc<Engine>>,
-    started: usize,
+    target_count: usize,
     /// What the operator and the targets say now.
-    written: Written,
+    desired_state: DesiredState,
     /// Address that a target is registered with, where it is not its own.
-    fronts: HashMap<String, SocketAddr>,
+    proxy_addrs: HashMap<String, SocketAddr>,
 }
 
-impl World {
+impl StandInPlatform {
     /// Starts a platform and writes the first configuration.
     ///
     /// # Errors
     /// Where no port is free.
-    pub async fn open(options: WorldOptions) -> std::io::Result<Self> {
+    pub async fn open(options: PlatformOptions) -> std::io::Result<Self> {
         let store = PlatformStoreModel::default();
         let listener = TcpNetwork
             .bind(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)))
@@ -95,38 +95,38 @@
             ServerLimits::default(),
             server,
         );
-        let mut world = Self {
+        let mut platform = Self {
             store_addr,
             engines: Vec::new(),
             plain: Vec::new(),
             runs: Runs::default(),
-            crashes: Crashes::default(),
+            crashing_requests: CrashingRequests::default(),
             configuration: first_configuration(),
-            fleet: Fleet::default(),
+            registry: EngineRegistry::default(),
             models: Vec::new(),
-            started: 0,
-            written: Written::new(store.clone()),
+            target_count: 0,
+            desired_state: DesiredState::new(store.clone()),
             store,
-            fronts: HashMap::new(),
+            proxy_addrs: HashMap::new(),
         };
         for _ in 0..options.engines {
-            world.add_engine().await?;
+            platform.add_engine().await?;
         }
         for _ in 0..options.plain {
-            world.add_plain().await?;
+            platform.add_plain().await?;
         }
-        world.write_configuration();
-        Ok(world)
+        platform.write_configuration();
+        Ok(platform)
     }
 
     /// Writes the configuration as it is now.
     pub fn write_configuration(&self) {
         let json = self.configuration.to_json();
-        self.written.write("op/config", json);
+        self.desired_state.write("op/config", json);
     }
 
     /// Writes a changed configuration with a higher version.
-    pub fn change_configuration(&mut self, change: impl FnOnce(&mut WrittenConfiguration)) {
+    pub fn change_configuration(&mut self, change: impl FnOnce(&mut ConfigurationSpec)) {
         change(&mut self.configuration);
         self.configuration.version += 3;
         self.write_configuration();
@@ -137,7 +137,7 @@
     /// # Errors
     /// Where no port is free.
     pub async fn add_engine(&mut self) -> std::io::Result<()> {
-        let (listener, target) = self.target("llm").await?;
+        let (listener, target) = self.new_target("llm").await?;
         let engine = self.serve_engine(listener, &target);
         self.models.push(engine);
         self.engines.push(TargetHandle { target });
@@ -151,13 +151,13 @@
             .ok()
             .and_then(|c| c.service("llm").and_then(|s| s.engine.clone()))
             .expect("the configuration of the stand-ins has engines");
-        let engine = Engine::spawn(spec, self.fleet.clone(), Arc::clone(target));
-        self.fleet.add(target.addr, Arc::clone(&engine));
-        if let Some(front) = self.fronts.get(&target.id) {
-            self.fleet.add(*front, Arc::clone(&engine));
+        let engine = Engine::spawn(spec, self.registry.clone(), Arc::clone(target));
+        self.registry.add(target.addr, Arc::clone(&engine));
+        if let Some(proxy_addr) = self.proxy_addrs.get(&target.id) {
+            self.registry.add(*proxy_addr, Arc::clone(&engine));
         }
-        let work = Arc::new(EngineWork(Arc::clone(&engine)));
-        serve_target(listener, Arc::clone(target), work);
+        let handler = Arc::new(EngineHandler(Arc::clone(&engine)));
+        serve_target(listener, Arc::clone(target), handler);
         engine
     }
 
@@ -166,8 +166,8 @@
     /// # Errors
     /// Where no port is free.
     pub async fn add_plain(&mut self) -> std::io::Result<()> {
-        let (listener, target) = self.target("desk").await?;
-        serve_target(listener, Arc::clone(&target), Arc::new(PlainWork));
+        let (listener, target) = self.new_target("desk").await?;
+        serve_target(listener, Arc::clone(&target), Arc::new(PlainHandler));
         self.plain.push(TargetHandle { target });
         Ok(())
     }
@@ -176,29 +176,29 @@
     ///
     /// # Errors
     /// Where no port is free.
-    pub async fn add_raw(&mut self, answer: RawAnswer) -> std::io::Result<Arrivals> {
-        let (listener, target) = self.target("desk").await?;
+    pub async fn add_raw(&mut self, fault: ProtocolFault) -> std::io::Result<Arrivals> {
+        let (listener, target) = self.new_target("desk").await?;
         let arrivals = Arrivals::default();
-        serve_raw(listener, Arc::clone(&target), answer, arrivals.clone());
+        serve_raw(listener, Arc::clone(&target), fault, arrivals.clone());
         self.plain.push(TargetHandle { target });
         Ok(arrivals)
     }
 
-    async fn target(&mut self, service: &str) -> std::io::Result<(TcpListener, Arc<Target>)> {
+    async fn new_target(&mut self, service: &str) -> std::io::Result<(TcpListener, Arc<Target>)> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
-        self.started += 1;
+        self.target_count += 1;
         let target = Arc::new(Target {
-            id: format!("i-{:04}", self.started),
+            id: format!("i-{:04}", self.target_count),
             service: service.to_owned(),
             addr: listener.local_addr()?,
-            born: FIRST_START_MS,
-            entries: AtomicU64::new(0),
+            started_ms: FIRST_START_MS,
+            entries_written: AtomicU64::new(0),
             runs: self.runs.clone(),
-            crashes: self.crashes.clone(),
+            crashing_requests: self.crashing_requests.clone(),
             fault: Mutex::new(TargetFault::None),
             signals: Mutex::default(),
             arrivals: Mutex::default(),
-            closed: CancellationToken::new(),
+            accept_stopped: CancellationToken::new(),
             stopped: CancellationToken::new(),
         });
         self.register(&target, "ready");
@@ -208,24 +208,24 @@
     fn register(&self, target: &Target, state: &str) {
         let entry = json!({
             "service": target.service,
-            "address": self.fronts.get(&target.id).unwrap_or(&target.addr).to_string(),
+            "address": self.proxy_addrs.get(&target.id).unwrap_or(&target.addr).to_string(),
             "zone": "d1",
             "version": "v1",
             "slots": 16,
             "state": state,
             "cold_remaining_ms": 0,
-            "born": target.born,
-            "sequence": target.entries.fetch_add(1, Ordering::Relaxed) + 1,
+            "born": target.started_ms,
+            "sequence": target.entries_written.fetch_add(1, Ordering::Relaxed) + 1,
         });
         let key = azuresaddle_platform::target_key(&target.id);
-        self.written.write(&key, entry.to_string());
+        self.desired_state.write(&key, entry.to_string());
     }
 
     /// Registers a target with another address that leads to it.
-    pub fn put_behind(&mut self, handle: &TargetHandle, front: SocketAddr) {
+    pub fn register_behind_proxy(&mut self, handle: &TargetHandle, proxy_addr: SocketAddr) {
         let target = &handle.target;
-        self.fronts.insert(target.id.clone(), front);
-        self.fleet.add_alias(target.addr, front);
+        self.proxy_addrs.insert(target.id.clone(), proxy_addr);
+        self.registry.add_alias(target.addr, proxy_addr);
         self.register(target, "ready");
     }
 
@@ -237,13 +237,13 @@
     /// Removes the entry of a target, as the platform does when it has left.
     pub fn deregister(&self, handle: &TargetHandle) {
         let key = azuresaddle_platform::target_key(&handle.target.id);
-        self.written.remove(&key);
+        self.desired_state.remove(&key);
     }
 
     /// Makes a target write its entry no more; the store keeps what it holds.
-    pub fn forget(&self, handle: &TargetHandle) {
+    pub fn abandon_entry(&self, handle: &TargetHandle) {
         let key = azuresaddle_platform::target_key(&handle.target.id);
-        self.written.forget(&key);
+        self.desired_state.abandon(&key);
     }
 
     /// Tokens of memory that are reserved on all engines now.
@@ -307,7 +307,7 @@
     }
 }
 
-fn first_configuration() -> WrittenConfiguration {
+fn first_configuration() -> ConfigurationSpec {
     let route = |prefix: &str, service: &str, kind, resumable| RouteSpec {
         prefix: prefix.to_owned(),
         service: service.to_owned(),
@@ -317,7 +317,7 @@
         target_ms: 600,
         attempts: 2,
     };
-    WrittenConfiguration {
+    ConfigurationSpec {
         version: 4,
         host: "desk.example".to_owned(),
         routes: vec![
@@ -336,7 +336,7 @@
                 is_engine: false,
             },
         ],
-        accounts: vec![Tenancy {
+        accounts: vec![AccountSpec {
             name: "advisers".to_owned(),
             keys: vec!["key-1".to_owned(), "key-2".to_owned()],
         }],
--- a/crates/azuresaddle-standin/src/platform/world/written.rs
+++ b/crates/azuresaddle-standin/src/platform/stand_in/desired_state.rs
@@ -9,12 +9,12 @@
 
 /// Values by key as their writers mean them to be; cheap to clone.
 #[derive(Clone)]
-pub(super) struct Written {
+pub(super) struct DesiredState {
     store: PlatformStoreModel,
     values: Arc<Mutex<BTreeMap<String, String>>>,
 }
 
-impl Written {
+impl DesiredState {
     pub(super) fn new(store: PlatformStoreModel) -> Self {
         Self {
             store,
@@ -37,7 +37,7 @@
     }
 
     /// Forgets a key, which its writer no longer keeps.
-    pub(super) fn forget(&self, key: &str) {
+    pub(super) fn abandon(&self, key: &str) {
         self.lock().remove(key);
     }
 
--- a/crates/azuresaddle-standin/src/platform/world/restart.rs
+++ b/crates/azuresaddle-standin/src/platform/stand_in/restart.rs
@@ -7,8 +7,8 @@
 use tokio::net::TcpListener;
 use tokio_util::sync::CancellationToken;
 
-use super::World;
-use crate::platform::plain::PlainWork;
+use super::StandInPlatform;
+use crate::platform::plain::PlainHandler;
 use crate::platform::target::{Target, TargetFault, TargetHandle, serve_target};
 
 /// Most tries to bind the port of an ended target.
@@ -17,13 +17,13 @@
 /// Pause between them.
 const BIND_PAUSE: Duration = Duration::from_millis(10);
 
-impl World {
+impl StandInPlatform {
     /// Ends an engine and starts it again under its name and address; it holds nothing then.
     ///
     /// # Errors
     /// Where the port can't be bound again.
     pub async fn restart_engine(&mut self, n: usize) -> std::io::Result<()> {
-        let (listener, target) = self.start_again(&self.engines[n].clone()).await?;
+        let (listener, target) = self.respawn_target(&self.engines[n].clone()).await?;
         self.models[n] = self.serve_engine(listener, &target);
         self.engines[n] = TargetHandle { target };
         Ok(())
@@ -34,8 +34,8 @@
     /// # Errors
     /// Where the port can't be bound again.
     pub async fn restart_plain(&mut self, n: usize) -> std::io::Result<()> {
-        let (listener, target) = self.start_again(&self.plain[n].clone()).await?;
-        serve_target(listener, Arc::clone(&target), Arc::new(PlainWork));
+        let (listener, target) = self.respawn_target(&self.plain[n].clone()).await?;
+        serve_target(listener, Arc::clone(&target), Arc::new(PlainHandler));
         self.plain[n] = TargetHandle { target };
         Ok(())
     }
@@ -58,7 +58,7 @@
         Ok(())
     }
 
-    async fn start_again(
+    async fn respawn_target(
         &mut self,
         handle: &TargetHandle,
     ) -> std::io::Result<(TcpListener, Arc<Target>)> {
@@ -78,14 +78,14 @@
             id: old.id.clone(),
             service: old.service.clone(),
             addr: old.addr,
-            born: old.born + 1_000,
-            entries: AtomicU64::new(0),
+            started_ms: old.started_ms + 1_000,
+            entries_written: AtomicU64::new(0),
             runs: self.runs.clone(),
-            crashes: self.crashes.clone(),
+            crashing_requests: self.crashing_requests.clone(),
             fault: Mutex::new(TargetFault::None),
             signals: Mutex::default(),
             arrivals: Mutex::default(),
-            closed: CancellationToken::new(),
+            accept_stopped: CancellationToken::new(),
             stopped: CancellationToken::new(),
         });
         self.register(&target, "ready");
--- a/crates/azuresaddle-standin/src/platform/world/store_return.rs
+++ b/crates/azuresaddle-standin/src/platform/stand_in/store_rollback.rs
@@ -6,51 +6,51 @@
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 
-use super::World;
+use super::StandInPlatform;
+use crate::platform::stand_in::desired_state::DesiredState;
 use crate::platform::store::{PlatformStoreModel, StoreFault};
-use crate::platform::world::written::Written;
 
 /// Time within which the operator and all targets have written again what they say.
-const WRITTEN_AGAIN: Duration = Duration::from_millis(1900);
+const REWRITE_TIME: Duration = Duration::from_millis(1900);
 
 /// Time after the return at which entries that nobody writes any more are removed: three of the targets' heartbeats.
-const ABANDONED: Duration = Duration::from_millis(2000);
+const ABANDONED_ENTRY_LIFETIME: Duration = Duration::from_millis(2000);
 
 /// How the store goes back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct StoreReturn {
+pub struct StoreRollback {
     /// Time for which it is away.
-    pub away: Duration,
+    pub outage: Duration,
     /// Age of the copy.
-    pub by: Duration,
+    pub copy_age: Duration,
     /// Seed of the order in which what was lost is written again.
     pub seed: u64,
 }
 
-impl World {
+impl StandInPlatform {
     /// Takes the store away and brings it back from an older copy; what its writers say is written again, in any
     /// order, after this returns.
-    pub async fn return_store(&self, how: StoreReturn) {
+    pub async fn roll_back_store(&self, how: StoreRollback) {
         self.store.set_fault(StoreFault::Silent);
-        tokio::time::sleep(how.away).await;
-        self.store.go_back(how.by);
+        tokio::time::sleep(how.outage).await;
+        self.store.roll_back(how.copy_age);
         self.store.set_fault(StoreFault::None);
-        let written = self.written.clone();
-        tokio::spawn(write_again(self.store.clone(), written, how.seed));
+        let desired_state = self.desired_state.clone();
+        tokio::spawn(write_again(self.store.clone(), desired_state, how.seed));
     }
 }
 
-async fn write_again(store: PlatformStoreModel, written: Written, seed: u64) {
+async fn write_again(store: PlatformStoreModel, desired_state: DesiredState, seed: u64) {
     let mut rng = StdRng::seed_from_u64(seed);
-    let mut keys = written.keys();
+    let mut keys = desired_state.keys();
     keys.shuffle(&mut rng);
-    let pause = WRITTEN_AGAIN / (keys.len() as u32 + 1);
+    let pause = REWRITE_TIME / (keys.len() as u32 + 1);
     for key in keys {
         tokio::time::sleep(pause.mul_f64(rng.random_range(0.5..1.0))).await;
-        written.write_again(&key);
+        desired_state.write_again(&key);
     }
-    tokio::time::sleep(ABANDONED).await;
+    tokio::time::sleep(ABANDONED_ENTRY_LIFETIME).await;
     for key in store.keys("servers/") {
-        written.remove_if_abandoned(&key);
+        desired_state.remove_if_abandoned(&key);
     }
 }
--- a/crates/azuresaddle-standin/src/platform/store.rs
+++ b/crates/azuresaddle-standin/src/platform/store.rs
@@ -6,8 +6,8 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-use super::store_log::Undo;
 use super::store_state::{Change, State, Stored};
+use super::undo_log::Undo;
 
 /// Era of a store that has never gone back.
 const FIRST_ERA: u64 = 1;
@@ -95,10 +95,10 @@
 
     /// Goes back to the copy of a time ago: what was written since is gone, and its revisions and leases are
     /// given out again.
-    pub fn go_back(&self, by: Duration) {
+    pub fn roll_back(&self, by: Duration) {
         let mut state = self.lock();
         state.end_leases();
-        state.go_back(Instant::now() - by);
+        state.roll_back(Instant::now() - by);
         let revision = state.revision;
         drop(state);
         self.changed.send_replace(revision);
@@ -106,7 +106,7 @@
 
     /// Number that rises by one each time the store goes back.
     pub fn era(&self) -> u64 {
-        FIRST_ERA + self.lock().rewinds
+        FIRST_ERA + self.lock().rollbacks
     }
 
     /// Keys that begin with `prefix`.
--- a/crates/azuresaddle-standin/src/platform/store_server.rs
+++ b/crates/azuresaddle-standin/src/platform/store_server.rs
@@ -22,7 +22,7 @@
 const ERA: HeaderName = HeaderName::from_static("store-era");
 
 /// Items of one page.
-const PAGE: usize = 500;
+const PAGE_ITEMS: usize = 500;
 
 /// Longest wait of a watch.
 const MAX_WAIT: Duration = Duration::from_secs(30);
@@ -114,7 +114,8 @@
                 }
             }
             (Method::GET, "/kv-range") => {
-                let (page, has_more, at) = self.0.range(&text("prefix"), &text("after"), PAGE);
+                let (page, has_more, at) =
+                    self.0.range(&text("prefix"), &text("after"), PAGE_ITEMS);
                 let entries: Vec<Value> = page.iter().map(|(k, s)| item_json(k, s)).collect();
                 respond(&json!({"entries": entries, "has_more": has_more, "at": at}))
             }
--- a/crates/azuresaddle-standin/src/platform/store_state.rs
+++ b/crates/azuresaddle-standin/src/platform/store_state.rs
@@ -6,10 +6,10 @@
 use tokio::time::Instant;
 
 use super::store::StoreFault;
-use super::store_log::{Undo, UndoLog};
+use super::undo_log::{Undo, UndoLog};
 
 /// Changes that are remembered.
-const HISTORY: usize = 2000;
+const MAX_HISTORY: usize = 2000;
 
 /// A stored value.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -32,7 +32,7 @@
 #[derive(Default)]
 pub(super) struct State {
     /// Times that it has gone back to an older copy.
-    pub(super) rewinds: u64,
+    pub(super) rollbacks: u64,
     pub(super) undo: UndoLog,
     pub(super) items: BTreeMap<String, Stored>,
     pub(super) history: VecDeque<Change>,
@@ -78,13 +78,13 @@
         self.undo.push(undo);
     }
 
-    pub(super) fn go_back(&mut self, to: Instant) {
+    pub(super) fn roll_back(&mut self, to: Instant) {
         while let Some(undo) = self.undo.pop_after(to) {
             self.undo_one(undo);
         }
         self.history.retain(|c| c.revision <= self.revision);
         self.compacted = self.compacted.min(self.revision);
-        self.rewinds += 1;
+        self.rollbacks += 1;
     }
 
     fn undo_one(&mut self, undo: Undo) {
@@ -116,7 +116,7 @@
             stored,
             revision: self.revision,
         });
-        if self.history.len() > HISTORY
+        if self.history.len() > MAX_HISTORY
             && let Some(forgotten) = self.history.pop_front()
         {
             self.compacted = forgotten.revision;
--- a/crates/azuresaddle-standin/src/platform/target.rs
+++ b/crates/azuresaddle-standin/src/platform/target.rs
@@ -20,8 +20,8 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-use super::body::PieceBody;
-use super::crashes::Crashes;
+use super::body::ChannelBody;
+use super::crashing_requests::CrashingRequests;
 use super::runs::Runs;
 use super::signals::Signals;
 
@@ -32,15 +32,15 @@
     #[default]
     None,
     /// Takes requests, runs them and answers nothing.
-    Mute,
+    Silent,
     /// Declines every request.
-    Full,
+    DeclinesAll,
     /// Runs requests and loses the answers.
     AnswersLost,
     /// Breaks off streams inside an event.
-    BreaksOff,
+    AbortsAnswers,
     /// Answers with the id of another request.
-    Crossed,
+    WrongAttemptId,
     /// Works much slower: each pass takes 1.6 s more.
     Stalls,
     /// Each pass takes four times as long, and its report says so.
@@ -63,13 +63,13 @@
 }
 
 /// What the targets of one kind do with a request that they may run.
-pub(super) trait Work: Send + Sync + 'static {
+pub(super) trait RequestHandler: Send + Sync + 'static {
     /// Runs a request and answers it.
     fn run(
         self: Arc<Self>,
         target: Arc<Target>,
         req: Request<Incoming>,
-    ) -> impl Future<Output = Response<PieceBody>> + Send;
+    ) -> impl Future<Output = Response<ChannelBody>> + Send;
 }
 
 /// A running target.
@@ -78,18 +78,18 @@
     pub(super) service: String,
     pub(super) addr: SocketAddr,
     /// Unix milliseconds of its start.
-    pub(super) born: u64,
+    pub(super) started_ms: u64,
     /// Entries that this start has written.
-    pub(super) entries: AtomicU64,
+    pub(super) entries_written: AtomicU64,
     pub(super) runs: Runs,
     /// Requests that end it.
-    pub(super) crashes: Crashes,
+    pub(super) crashing_requests: CrashingRequests,
     pub(super) fault: Mutex<TargetFault>,
     pub(super) signals: Mutex<Signals>,
     /// Requests of callers.
     pub(super) arrivals: Mutex<Vec<ArrivedRequest>>,
     /// Cancelled when it takes no more connections.
-    pub(super) closed: CancellationToken,
+    pub(super) accept_stopped: CancellationToken,
     pub(super) stopped: CancellationToken,
 }
 
@@ -146,16 +146,17 @@
     }
 
     /// Notes that this target begins to work on a request.
-    pub(super) fn begin(&self, map: &HeaderMap) {
-        let attempt = text_of(map, headers::ATTEMPT_ID.as_str());
+    pub(super) fn record_run(&self, map: &HeaderMap) {
+        let attempt = header_text(map, headers::ATTEMPT_ID.as_str());
         let account = map.get(headers::ACCOUNT).and_then(|v| v.to_str().ok());
         let has_key = map.contains_key(AUTHORIZATION);
-        self.runs.begin(&attempt, &self.service, account, has_key);
+        self.runs
+            .record_run(&attempt, &self.service, account, has_key);
     }
 
     /// An answer that says that the request did not run.
-    pub(super) fn decline(&self, status: StatusCode) -> Response<PieceBody> {
-        let mut response = Response::new(PieceBody::whole(""));
+    pub(super) fn decline(&self, status: StatusCode) -> Response<ChannelBody> {
+        let mut response = Response::new(ChannelBody::whole(""));
         *response.status_mut() = status;
         let map = response.headers_mut();
         map.insert(headers::NOT_RUN, HeaderValue::from_static("1"));
@@ -163,17 +164,17 @@
     }
 
     /// An answer of a request that ran.
-    pub(super) fn answer(&self, attempt: &str, body: PieceBody) -> Response<PieceBody> {
+    pub(super) fn answer(&self, attempt: &str, body: ChannelBody) -> Response<ChannelBody> {
         let mut response = Response::new(body);
         let map = response.headers_mut();
         let id = match self.fault() {
-            TargetFault::Crossed => "0000000000000000",
+            TargetFault::WrongAttemptId => "0000000000000000",
             _ => attempt,
         };
-        let seal = format!("{}.{attempt}", self.id);
+        let signature = format!("{}.{attempt}", self.id);
         for (name, value) in [
             (headers::ATTEMPT_ID, id),
-            (headers::SIGNATURE, seal.as_str()),
+            (headers::SIGNATURE, signature.as_str()),
         ] {
             if let Ok(value) = HeaderValue::from_str(value) {
                 map.insert(name, value);
@@ -184,38 +185,42 @@
 }
 
 /// Value of a header as text; empty where there is none.
-pub(super) fn text_of(map: &HeaderMap, name: &str) -> String {
+pub(super) fn header_text(map: &HeaderMap, name: &str) -> String {
     let value = map.get(name).and_then(|v| v.to_str().ok());
     value.unwrap_or("").to_owned()
 }
 
 /// Body of a request; empty where it breaks off, as of a request that never came.
-pub(super) async fn whole_body(req: Request<Incoming>) -> Bytes {
+pub(super) async fn read_body(req: Request<Incoming>) -> Bytes {
     let body = req.into_body().collect().await;
     body.map(|b| b.to_bytes()).unwrap_or_default()
 }
 
 /// Serves a target until it is stopped.
-pub(super) fn serve_target<W: Work>(listener: TcpListener, target: Arc<Target>, work: Arc<W>) {
+pub(super) fn serve_target<W: RequestHandler>(
+    listener: TcpListener,
+    target: Arc<Target>,
+    handler: Arc<W>,
+) {
     let stopped = target.stopped.clone();
     tokio::spawn(async move {
         loop {
             let accepted = tokio::select! {
                 () = stopped.cancelled() => return,
-                () = target.closed.cancelled() => return,
+                () = target.accept_stopped.cancelled() => return,
                 accepted = listener.accept() => accepted,
             };
             let Ok((stream, _)) = accepted else {
                 continue;
             };
             let target = Arc::clone(&target);
-            let work = Arc::clone(&work);
+            let handler = Arc::clone(&handler);
             let stopped = stopped.clone();
             tokio::spawn(async move {
                 let service = service_fn(move |req| {
                     let target = Arc::clone(&target);
-                    let work = Arc::clone(&work);
-                    async move { Ok::<_, Infallible>(take(target, work, req).await) }
+                    let handler = Arc::clone(&handler);
+                    async move { Ok::<_, Infallible>(handle_request(target, handler, req).await) }
                 });
                 let conn = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
                 tokio::select! {
@@ -228,14 +233,14 @@
     });
 }
 
-async fn take<W: Work>(
+async fn handle_request<W: RequestHandler>(
     target: Arc<Target>,
-    work: Arc<W>,
+    handler: Arc<W>,
     req: Request<Incoming>,
-) -> Response<PieceBody> {
-    let expected = text_of(req.headers(), headers::EXPECTED_TARGET.as_str());
+) -> Response<ChannelBody> {
+    let expected = header_text(req.headers(), headers::EXPECTED_TARGET.as_str());
     if !expected.is_empty() && expected != target.id {
-        let mut response = Response::new(PieceBody::whole(""));
+        let mut response = Response::new(ChannelBody::whole(""));
         *response.status_mut() = StatusCode::MISDIRECTED_REQUEST;
         return response;
     }
@@ -244,14 +249,14 @@
     if is_request {
         lock(&target.arrivals).push(ArrivedRequest {
             at: Instant::now(),
-            attempt: text_of(req.headers(), headers::ATTEMPT_ID.as_str()),
+            attempt: header_text(req.headers(), headers::ATTEMPT_ID.as_str()),
             back_off,
         });
     }
-    let mut response = if back_off.is_some() || target.fault() == TargetFault::Full {
+    let mut response = if back_off.is_some() || target.fault() == TargetFault::DeclinesAll {
         target.decline(StatusCode::SERVICE_UNAVAILABLE)
     } else {
-        work.run(Arc::clone(&target), req).await
+        handler.run(Arc::clone(&target), req).await
     };
     target.signals().add_to(response.headers_mut());
     response
--- a/crates/azuresaddle-standin/src/platform/store_log.rs
+++ b/crates/azuresaddle-standin/src/platform/undo_log.rs
@@ -8,7 +8,7 @@
 use super::store_state::Stored;
 
 /// Age of the oldest state that the store can go back to.
-const KEPT: Duration = Duration::from_secs(60);
+const MAX_AGE: Duration = Duration::from_secs(60);
 
 /// The state that one change replaced.
 #[derive(Debug)]
@@ -39,7 +39,7 @@
     /// Notes what a change replaces.
     pub(super) fn push(&mut self, undo: Undo) {
         let now = Instant::now();
-        while self.0.front().is_some_and(|(at, _)| *at + KEPT < now) {
+        while self.0.front().is_some_and(|(at, _)| *at + MAX_AGE < now) {
             self.0.pop_front();
         }
         self.0.push_back((now, undo));
--- a/crates/azuresaddle-standin/src/soak/callers.rs
+++ b/crates/azuresaddle-standin/src/soak/callers.rs
@@ -15,10 +15,10 @@
 use super::report::SoakReport;
 use super::signals::SignalLog;
 use crate::http_util::get_json;
-use crate::platform::{Asked, Caller, CallerError, Runs};
+use crate::platform::{Caller, CallerError, CallerRequest, Runs};
 
 /// Time that callers wait for an answer.
-pub(super) const PATIENCE: Duration = Duration::from_secs(6);
+pub(super) const ANSWER_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// Time for which a caller keeps the addresses that it was told.
 const KEEP_ADDRESSES: Duration = Duration::from_secs(2);
@@ -63,7 +63,7 @@
             .disturbed
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            + PATIENCE
+            + ANSWER_TIMEOUT
             >= at
     }
 
@@ -80,22 +80,22 @@
     let mut rng = StdRng::seed_from_u64(seed);
     let mut caller = Caller::default();
     let mut addresses: Vec<SocketAddr> = Vec::new();
-    let mut asked_at = Instant::now();
+    let mut resolved_at = Instant::now();
     while !shared.stopped.is_cancelled() {
-        if addresses.is_empty() || asked_at.elapsed() > KEEP_ADDRESSES {
+        if addresses.is_empty() || resolved_at.elapsed() > KEEP_ADDRESSES {
             addresses = resolve(&shared, &mut rng, addresses).await;
-            asked_at = Instant::now();
+            resolved_at = Instant::now();
         }
         let Some(node) = addresses.choose(&mut rng).copied() else {
             tokio::time::sleep(Duration::from_millis(100)).await;
             continue;
         };
-        let asked = draw(&shared, &mut rng);
+        let request = draw(&shared, &mut rng);
         let began = Instant::now();
-        shared.signals.on_sent(node, &asked);
-        let result = caller.ask(node, &asked).await;
+        shared.signals.on_sent(node, &request);
+        let result = caller.ask(node, &request).await;
         shared.signals.on_answer(node, &result);
-        judge(&shared, &asked, began, &result);
+        judge(&shared, &request, began, &result);
         if result.is_err() {
             addresses.retain(|a| *a != node);
         }
@@ -126,7 +126,7 @@
     known
 }
 
-pub(super) fn draw(shared: &Shared, rng: &mut StdRng) -> Asked {
+pub(super) fn draw(shared: &Shared, rng: &mut StdRng) -> CallerRequest {
     let number = shared.attempts.fetch_add(1, Ordering::Relaxed);
     let (path, tokens) = match rng.random_range(0..10) {
         0..=3 => ("/note/1", None),
@@ -138,32 +138,32 @@
         8 => ("/ask-once/1", Some((rng.random_range(200..4000), 46 * 3))),
         _ => ("/ask/1", Some((rng.random_range(20_000..90_000), 46 * 3))),
     };
-    Asked {
+    CallerRequest {
         attempt: format!("{number:016x}"),
         path: path.to_owned(),
         host: "desk.example".to_owned(),
         key: "key-1".to_owned(),
         tokens,
         body: "{}".into(),
-        patience: PATIENCE,
+        timeout: ANSWER_TIMEOUT,
     }
 }
 
 /// Checks one answer against what is promised.
 pub(super) fn judge(
     shared: &Shared,
-    asked: &Asked,
+    request: &CallerRequest,
     began: Instant,
     result: &Result<crate::platform::Answer, CallerError>,
 ) {
-    let is_once = asked.path.starts_with("/post/") || asked.path.starts_with("/ask-once/");
-    let run = shared.runs.of(&asked.attempt);
-    let what = |text: &str| format!("{text}: {asked:?} {result:?} {run:?}");
+    let is_once = request.path.starts_with("/post/") || request.path.starts_with("/ask-once/");
+    let run = shared.runs.of(&request.attempt);
+    let what = |text: &str| format!("{text}: {request:?} {result:?} {run:?}");
     if run.has_key || run.account.as_deref().is_some_and(|a| a != "advisers") {
         shared.broken(what("key or account"));
     }
     if is_once {
-        shared.settle(&asked.attempt, 1);
+        shared.settle(&request.attempt, 1);
     }
     match result {
         Ok(answer) => {
@@ -173,7 +173,7 @@
                 StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS
             );
             if says_not_run && is_once {
-                shared.settle(&asked.attempt, 0);
+                shared.settle(&request.attempt, 0);
             }
             if says_not_run && !answer.has_retry_after {
                 shared.broken(what("no time to come back"));
--- a/crates/azuresaddle-standin/src/soak/crashers.rs
+++ b/crates/azuresaddle-standin/src/soak/crashers.rs
@@ -10,9 +10,9 @@
 use rand::{Rng, SeedableRng};
 use tokio::time::Instant;
 
-use super::callers::{PATIENCE, Shared, draw, judge, resolve};
+use super::callers::{ANSWER_TIMEOUT, Shared, draw, judge, resolve};
 use super::fleet::Fleet;
-use crate::platform::{Caller, Crashes};
+use crate::platform::{Caller, CrashingRequests};
 
 /// Targets after whose end a request is known for what it does.
 const CRASHES: usize = 3;
@@ -27,33 +27,37 @@
 const MAX_START: Duration = Duration::from_secs(3);
 
 /// Sends one request to random nodes until it is stopped.
-pub(super) async fn run_crasher(shared: Arc<Shared>, crashes: Crashes, number: u64) {
+pub(super) async fn run_crasher(
+    shared: Arc<Shared>,
+    crashing_requests: CrashingRequests,
+    number: u64,
+) {
     let seed = shared.attempts.load(Ordering::Relaxed) ^ number;
     let mut rng = StdRng::seed_from_u64(seed);
     let body = Bytes::from(format!("{{\"crash\":{number}}}"));
-    crashes.make_crash(body.clone());
+    crashing_requests.add(body.clone());
     tokio::time::sleep(MAX_START.mul_f64(rng.random_range(0.0..1.0))).await;
     let first = draw(&shared, &mut rng);
     while !shared.stopped.is_cancelled() {
         let addresses = resolve(&shared, &mut rng, Vec::new()).await;
-        let mut asked = first.clone();
-        asked.attempt = draw(&shared, &mut rng).attempt;
-        asked.body = body.clone();
+        let mut request = first.clone();
+        request.attempt = draw(&shared, &mut rng).attempt;
+        request.body = body.clone();
         if let Some(node) = addresses.choose(&mut rng) {
             let began = Instant::now();
             shared.disturb();
-            shared.signals.on_sent(*node, &asked);
-            let result = Caller::default().ask(*node, &asked).await;
+            shared.signals.on_sent(*node, &request);
+            let result = Caller::default().ask(*node, &request).await;
             shared.signals.on_answer(*node, &result);
-            judge(&shared, &asked, began, &result);
+            judge(&shared, &request, began, &result);
         }
-        tokio::time::sleep(PATIENCE.mul_f64(rng.random_range(0.01..0.06))).await;
+        tokio::time::sleep(ANSWER_TIMEOUT.mul_f64(rng.random_range(0.01..0.06))).await;
     }
 }
 
 /// Looks whether requests that end their targets were kept from them.
 pub(super) fn check_crashes(fleet: &Fleet, shared: &Shared) {
-    for times in fleet.world.crashes.all() {
+    for times in fleet.platform.crashing_requests.arrival_times() {
         let Some(third) = times.get(CRASHES - 1) else {
             continue;
         };
--- a/crates/azuresaddle-standin/src/soak/faults.rs
+++ b/crates/azuresaddle-standin/src/soak/faults.rs
@@ -11,7 +11,7 @@
 use super::fleet::Fleet;
 use super::proxy::ProxyMode;
 use super::signals::{SignalFault, Struck, begin_signals};
-use crate::platform::{StoreFault, StoreReturn, TargetFault};
+use crate::platform::{StoreFault, StoreRollback, TargetFault};
 
 /// Longest time of a fault.
 const MAX_FAULT: Duration = Duration::from_millis(1800);
@@ -36,7 +36,7 @@
     /// A target announces a signal with each answer.
     Signals(usize, SignalFault),
     /// The store comes back from an older copy, once or twice in a row.
-    StoreReturn(StoreReturn, usize),
+    StoreRollback(StoreRollback, usize),
 }
 
 /// Faults that only some soaks draw from.
@@ -45,7 +45,7 @@
     /// Whether targets also start again under their names.
     pub has_restarts: bool,
     /// Whether the store also comes back from older copies.
-    pub has_store_returns: bool,
+    pub has_store_rollbacks: bool,
     /// Whether targets also limit their rate, drain or ask to back off.
     pub has_signals: bool,
 }
@@ -74,7 +74,7 @@
     ];
     let cut = cuts[rng.random_range(0..cuts.len())];
     let restarts = u32::from(options.has_restarts);
-    let returns = u32::from(options.has_store_returns);
+    let returns = u32::from(options.has_store_rollbacks);
     let signals = u32::from(options.has_signals) * SIGNAL_WEIGHT;
     match rng.random_range(0..KINDS + restarts + returns + signals) {
         0 => Fault::Kill(node),
@@ -85,30 +85,30 @@
         6 => Fault::StoreCut(node, cut),
         7 => Fault::Compact,
         8 => Fault::TargetCut(target, cut),
-        9 => Fault::Target(target, TargetFault::Full),
+        9 => Fault::Target(target, TargetFault::DeclinesAll),
         10 => Fault::Target(
             target,
             [
-                TargetFault::Mute,
+                TargetFault::Silent,
                 TargetFault::AnswersLost,
-                TargetFault::BreaksOff,
-                TargetFault::Crossed,
+                TargetFault::AbortsAnswers,
+                TargetFault::WrongAttemptId,
             ][rng.random_range(0..4)],
         ),
         11 => Fault::Configuration,
         12 if options.has_restarts => Fault::RestartTarget(target),
         n if n >= KINDS + restarts + returns => Fault::Signals(target, SignalFault::draw(rng)),
-        _ => draw_store_return(rng),
+        _ => random_store_rollback(rng),
     }
 }
 
-fn draw_store_return(rng: &mut StdRng) -> Fault {
-    let how = StoreReturn {
-        away: MAX_AWAY.mul_f64(rng.random_range(0.0..1.0)),
-        by: MAX_COPY_AGE.mul_f64(rng.random_range(0.0..1.0)),
+fn random_store_rollback(rng: &mut StdRng) -> Fault {
+    let how = StoreRollback {
+        outage: MAX_AWAY.mul_f64(rng.random_range(0.0..1.0)),
+        copy_age: MAX_COPY_AGE.mul_f64(rng.random_range(0.0..1.0)),
         seed: rng.random(),
     };
-    Fault::StoreReturn(how, rng.random_range(1..3))
+    Fault::StoreRollback(how, rng.random_range(1..3))
 }
 
 /// Strikes once, and waits until the fault is over.
@@ -142,16 +142,16 @@
             fleet.nodes[n].signal(Signal::SIGCONT);
         }
         Fault::Store(fault) => {
-            fleet.world.store.set_fault(fault);
+            fleet.platform.store.set_fault(fault);
             tokio::time::sleep(length).await;
-            fleet.world.store.set_fault(StoreFault::None);
+            fleet.platform.store.set_fault(StoreFault::None);
         }
         Fault::StoreCut(n, mode) => {
             fleet.store_proxies[n].set_mode(mode);
             tokio::time::sleep(length).await;
             fleet.store_proxies[n].set_mode(ProxyMode::Pass);
         }
-        Fault::Compact => fleet.world.store.compact(),
+        Fault::Compact => fleet.platform.store.compact(),
         Fault::TargetCut(n, mode) => {
             fleet.target_proxies[n].set_mode(mode);
             tokio::time::sleep(length).await;
@@ -159,20 +159,20 @@
         }
         Fault::Target(n, fault) => {
             let targets: Vec<_> = fleet
-                .world
+                .platform
                 .engines
                 .iter()
-                .chain(&fleet.world.plain)
+                .chain(&fleet.platform.plain)
                 .collect();
             targets[n].set_fault(fault);
             tokio::time::sleep(length).await;
             targets[n].set_fault(TargetFault::None);
         }
         Fault::Signals(n, signals) => begin_signals(fleet, shared, n, signals),
-        Fault::Configuration => fleet.world.change_configuration(|_| {}),
-        Fault::StoreReturn(how, times) => {
+        Fault::Configuration => fleet.platform.change_configuration(|_| {}),
+        Fault::StoreRollback(how, times) => {
             for _ in 0..times {
-                fleet.world.return_store(how).await;
+                fleet.platform.roll_back_store(how).await;
             }
         }
         Fault::RestartTarget(n) => {
@@ -218,7 +218,7 @@
             | Fault::Compact
             | Fault::Signals(..)
             | Fault::Configuration
-            | Fault::StoreReturn(..)
+            | Fault::StoreRollback(..)
     )
 }
 
--- a/crates/azuresaddle-standin/src/soak/fleet.rs
+++ b/crates/azuresaddle-standin/src/soak/fleet.rs
@@ -8,7 +8,7 @@
 
 use super::process::NodeProcess;
 use super::proxy::Proxy;
-use crate::platform::{World, WorldOptions};
+use crate::platform::{PlatformOptions, StandInPlatform};
 
 /// First port of the first fleet of a process; each fleet takes ten more.
 const FIRST_PORT: u16 = 20_000;
@@ -27,14 +27,14 @@
     /// Nodes.
     pub nodes: u8,
     /// Targets.
-    pub world: WorldOptions,
+    pub platform: PlatformOptions,
 }
 
 impl Default for FleetOptions {
     fn default() -> Self {
         Self {
             nodes: 3,
-            world: WorldOptions::default(),
+            platform: PlatformOptions::default(),
         }
     }
 }
@@ -42,7 +42,7 @@
 /// Nodes, and the platform that they run on.
 pub struct Fleet {
     /// The platform.
-    pub world: World,
+    pub platform: StandInPlatform,
     /// Nodes.
     pub nodes: Vec<NodeProcess>,
     /// Before the store, one for each node.
@@ -57,12 +57,17 @@
     /// # Errors
     /// Where something can't be started.
     pub async fn open(program: &Path, dir: &Path, options: FleetOptions) -> Result<Self> {
-        let mut world = World::open(options.world).await?;
+        let mut platform = StandInPlatform::open(options.platform).await?;
         let mut target_proxies = Vec::new();
-        let targets: Vec<_> = world.engines.iter().chain(&world.plain).cloned().collect();
+        let targets: Vec<_> = platform
+            .engines
+            .iter()
+            .chain(&platform.plain)
+            .cloned()
+            .collect();
         for target in targets {
             let proxy = Proxy::spawn(target.addr()).await?;
-            world.put_behind(&target, proxy.addr);
+            platform.register_behind_proxy(&target, proxy.addr);
             target_proxies.push(proxy);
         }
         let port = next_port();
@@ -72,10 +77,10 @@
         let mut nodes = Vec::new();
         let mut store_proxies = Vec::new();
         for (n, ip) in ips.iter().enumerate() {
-            let proxy = Proxy::spawn(world.store_addr).await?;
+            let proxy = Proxy::spawn(platform.store_addr).await?;
             let name = format!("n{n}");
             let seeds = &ips[..ips.len().min(2)];
-            let settings = world.settings_with_store(&name, *ip, port, seeds, proxy.addr);
+            let settings = platform.settings_with_store(&name, *ip, port, seeds, proxy.addr);
             let dir = PathBuf::from(dir);
             nodes.push(NodeProcess::spawn(
                 program,
@@ -90,7 +95,7 @@
             node.until_ready().await?;
         }
         Ok(Self {
-            world,
+            platform,
             nodes,
             store_proxies,
             target_proxies,
@@ -102,11 +107,11 @@
     /// # Errors
     /// Where its port can't be bound again.
     pub(super) async fn restart_target(&mut self, number: usize) -> std::io::Result<()> {
-        let engines = self.world.engines.len();
+        let engines = self.platform.engines.len();
         if number < engines {
-            self.world.restart_engine(number).await
+            self.platform.restart_engine(number).await
         } else {
-            self.world.restart_plain(number - engines).await
+            self.platform.restart_plain(number - engines).await
         }
     }
 }
--- a/crates/azuresaddle-standin/src/soak/run.rs
+++ b/crates/azuresaddle-standin/src/soak/run.rs
@@ -18,7 +18,7 @@
 use super::report::SoakReport;
 use super::signal_checks::check_signals;
 use super::signals::{SignalLog, end_signals};
-use crate::platform::{Asked, Caller};
+use crate::platform::{Caller, CallerRequest};
 
 /// Time for the last answers and the release of memory after the callers stopped.
 const SETTLE: Duration = Duration::from_millis(4500);
@@ -55,7 +55,7 @@
     std::fs::create_dir_all(&options.dir)?;
     let mut fleet = Fleet::open(&options.program, &options.dir, options.fleet).await?;
     let shared = Arc::new(Shared {
-        runs: fleet.world.runs.clone(),
+        runs: fleet.platform.runs.clone(),
         directories: fleet.nodes.iter().map(|n| n.directory()).collect(),
         report: Mutex::new(SoakReport {
             seed: options.seed,
@@ -72,15 +72,15 @@
         .collect();
     let mut callers = callers;
     callers.extend((0..options.crashers).map(|n| {
-        let crashes = fleet.world.crashes.clone();
-        tokio::spawn(run_crasher(Arc::clone(&shared), crashes, n))
+        let crashing_requests = fleet.platform.crashing_requests.clone();
+        tokio::spawn(run_crasher(Arc::clone(&shared), crashing_requests, n))
     }));
     let mut rng = StdRng::seed_from_u64(options.seed);
     let end = Instant::now() + options.length;
     while Instant::now() < end {
         strike(&mut fleet, &shared, &mut rng, options.faults).await;
         end_signals(&mut fleet, &shared).await;
-        if let Err(e) = fleet.world.restart_ended().await {
+        if let Err(e) = fleet.platform.restart_ended().await {
             shared.broken(format!("a target did not start again: {e}"));
         }
     }
@@ -101,11 +101,11 @@
 async fn check_end(fleet: &mut Fleet, shared: &Shared) {
     tokio::time::sleep(SETTLE).await;
     fleet
-        .world
+        .platform
         .change_configuration(|c| c.accounts[0].keys.retain(|k| k != "key-2"));
     tokio::time::sleep(APPLY).await;
     for (n, node) in fleet.nodes.iter().enumerate() {
-        let asked = |key: &str, path: &str, tokens| Asked {
+        let caller_request = |key: &str, path: &str, tokens| CallerRequest {
             attempt: format!(
                 "{:016x}",
                 0xffff_0000_u64 + n as u64 * 16 + path.len() as u64
@@ -115,7 +115,7 @@
             key: key.to_owned(),
             tokens,
             body: "{}".into(),
-            patience: Duration::from_secs(3),
+            timeout: Duration::from_secs(3),
         };
         let mut caller = Caller::default();
         for (key, path, tokens, status) in [
@@ -123,8 +123,8 @@
             ("key-2", "/note/1", None, 401),
             ("key-1", "/ask/1", Some((1000, 46)), 200),
         ] {
-            let asked = asked(key, path, tokens);
-            let answer = caller.ask(node.callers(), &asked).await;
+            let request = caller_request(key, path, tokens);
+            let answer = caller.ask(node.callers(), &request).await;
             if answer.as_ref().map(|a| a.status.as_u16()) != Ok(status) {
                 shared.broken(format!(
                     "node {n}, {key}, {path}: {answer:?}, expected {status}"
@@ -132,7 +132,7 @@
             }
         }
     }
-    if fleet.world.reserved_tokens() > 0 {
+    if fleet.platform.reserved_tokens() > 0 {
         shared.broken("memory is still reserved".to_owned());
     }
     let settled = shared
--- a/crates/azuresaddle-standin/src/soak/signals.rs
+++ b/crates/azuresaddle-standin/src/soak/signals.rs
@@ -12,7 +12,7 @@
 
 use super::callers::Shared;
 use super::fleet::Fleet;
-use crate::platform::{Answer, Asked, CallerError, Signals, TargetHandle};
+use crate::platform::{Answer, CallerError, CallerRequest, Signals, TargetHandle};
 
 /// Signals that a target announces for a while.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -96,8 +96,8 @@
 }
 
 impl SignalLog {
-    pub(super) fn on_sent(&self, node: SocketAddr, asked: &Asked) {
-        self.lock().nodes.insert(asked.attempt.clone(), node);
+    pub(super) fn on_sent(&self, node: SocketAddr, request: &CallerRequest) {
+        self.lock().nodes.insert(request.attempt.clone(), node);
     }
 
     pub(super) fn on_answer(&self, node: SocketAddr, result: &Result<Answer, CallerError>) {
@@ -105,7 +105,10 @@
             return;
         };
         // The signature begins with the target's name.
-        let target = answer.seal.as_deref().and_then(|s| s.split('.').next());
+        let target = answer
+            .signature
+            .as_deref()
+            .and_then(|s| s.split('.').next());
         let Some(target) = target.filter(|_| answer.signals != TargetSignals::default()) else {
             return;
         };
@@ -172,7 +175,7 @@
 }
 
 fn target_of(fleet: &Fleet, number: usize) -> TargetHandle {
-    let world = &fleet.world;
-    let mut all = world.engines.iter().chain(&world.plain);
+    let platform = &fleet.platform;
+    let mut all = platform.engines.iter().chain(&platform.plain);
     all.nth(number).expect("the fleet has the target").clone()
 }
--- a/tests/testsuite/platform/burn.rs
+++ b/tests/testsuite/platform/burn.rs
@@ -13,8 +13,8 @@
         assert_eq!(status(node, &plain("/note/1")).await, 200);
         assert_eq!(status(node, &stream("/ask/1", 1000, 2)).await, 200);
     }
-    for target in fleet.world.plain.iter().chain(&fleet.world.engines) {
-        target.set_fault(TargetFault::Full);
+    for target in fleet.platform.plain.iter().chain(&fleet.platform.engines) {
+        target.set_fault(TargetFault::DeclinesAll);
     }
     assert_eq!(status(&fleet.nodes[0], &plain("/post/1")).await, 503);
     assert_eq!(
--- a/tests/testsuite/platform/configuration.rs
+++ b/tests/testsuite/platform/configuration.rs
@@ -19,7 +19,7 @@
         assert_eq!(status(node, &asked).await, 200);
     }
     fleet
-        .world
+        .platform
         .change_configuration(|c| c.accounts[0].keys.retain(|k| k != "key-2"));
     tokio::time::sleep(APPLY).await;
     for node in &fleet.nodes {
@@ -33,7 +33,7 @@
     let mut fleet = fleet("gossip", 3).await;
     fleet.store_proxies[1].set_mode(ProxyMode::Reset);
     fleet
-        .world
+        .platform
         .change_configuration(|c| c.accounts[0].keys.retain(|k| k != "key-2"));
     tokio::time::sleep(APPLY).await;
     let mut asked = plain("/note/1");
@@ -45,14 +45,14 @@
 async fn an_older_or_broken_configuration_changes_nothing() {
     let mut fleet = fleet("older", 1).await;
     fleet
-        .world
+        .platform
         .change_configuration(|c| c.routes.retain(|r| r.prefix != "/post/"));
     tokio::time::sleep(APPLY).await;
     assert_eq!(status(&fleet.nodes[0], &plain("/post/1")).await, 404);
     // The one with the route comes back under an older version, then something unreadable.
-    fleet.world.configuration.version = 2;
-    fleet.world.write_configuration();
-    fleet.world.store.put("op/config", "{\"version\":99}{");
+    fleet.platform.configuration.version = 2;
+    fleet.platform.write_configuration();
+    fleet.platform.store.put("op/config", "{\"version\":99}{");
     tokio::time::sleep(APPLY).await;
     assert_eq!(status(&fleet.nodes[0], &plain("/post/1")).await, 404);
     assert_eq!(status(&fleet.nodes[0], &plain("/note/1")).await, 200);
@@ -61,7 +61,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn traffic_goes_on_without_the_store_and_a_new_process_asks_the_others() {
     let mut fleet = fleet("outage", 2).await;
-    fleet.world.store.set_fault(StoreFault::Silent);
+    fleet.platform.store.set_fault(StoreFault::Silent);
     for _ in 0..10 {
         assert_eq!(status(&fleet.nodes[0], &plain("/post/1")).await, 200);
         tokio::time::sleep(Duration::from_millis(100)).await;
@@ -76,13 +76,13 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_forgotten_history_is_read_anew() {
     let mut fleet = fleet("compact", 1).await;
-    fleet.world.store.set_fault(StoreFault::Unavailable);
+    fleet.platform.store.set_fault(StoreFault::Unavailable);
     tokio::time::sleep(Duration::from_millis(1700)).await;
     fleet
-        .world
+        .platform
         .change_configuration(|c| c.routes.retain(|r| r.prefix != "/post/"));
-    fleet.world.store.compact();
-    fleet.world.store.set_fault(StoreFault::None);
+    fleet.platform.store.compact();
+    fleet.platform.store.set_fault(StoreFault::None);
     tokio::time::sleep(APPLY).await;
     assert_eq!(status(&fleet.nodes[0], &plain("/post/1")).await, 404);
 }
--- a/tests/testsuite/platform/drains.rs
+++ b/tests/testsuite/platform/drains.rs
@@ -11,15 +11,15 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_draining_target_gets_nothing_after_a_moment() {
     let fleet = fleet("drain", 2).await;
-    let leaving = fleet.world.plain[0].clone();
-    fleet.world.drain(&leaving);
+    let leaving = fleet.platform.plain[0].clone();
+    fleet.platform.drain(&leaving);
     tokio::time::sleep(Duration::from_millis(500)).await;
     leaving.kill();
     for node in &fleet.nodes {
         for _ in 0..10 {
             let asked = plain("/post/1");
             assert_eq!(status(node, &asked).await, 200);
-            assert_eq!(fleet.world.runs.of(&asked.attempt).count, 1);
+            assert_eq!(fleet.platform.runs.of(&asked.attempt).count, 1);
         }
     }
 }
--- a/tests/testsuite/platform/explain.rs
+++ b/tests/testsuite/platform/explain.rs
@@ -15,8 +15,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_refused_request() {
     let fleet = fleet("explain-refused", 1).await;
-    for engine in &fleet.world.engines {
-        engine.set_fault(TargetFault::Full);
+    for engine in &fleet.platform.engines {
+        engine.set_fault(TargetFault::DeclinesAll);
     }
     let asked = stream("/ask/1", 1000, 2);
     assert_eq!(status(&fleet.nodes[0], &asked).await, 503);
@@ -30,7 +30,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_whose_targets_have_asked_for_a_pause() {
     let fleet = fleet("explain-paused", 1).await;
-    for target in &fleet.world.plain {
+    for target in &fleet.platform.plain {
         target.set_signals(Signals {
             back_off: Some(Duration::from_secs(5)),
             ..Signals::default()
@@ -49,11 +49,11 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_that_nobody_answered_in_time() {
     let fleet = fleet("explain-silent", 1).await;
-    for target in &fleet.world.plain {
-        target.set_fault(TargetFault::Mute);
+    for target in &fleet.platform.plain {
+        target.set_fault(TargetFault::Silent);
     }
     let mut asked = plain("/post/1");
-    asked.patience = Duration::from_millis(900);
+    asked.timeout = Duration::from_millis(900);
     // The caller and the node give up at the same time.
     let answer = ask(&fleet.nodes[0], &asked).await;
     assert!(
@@ -71,8 +71,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_that_was_cut_midway() {
     let fleet = fleet("explain-cut", 1).await;
-    for engine in &fleet.world.engines {
-        engine.set_fault(TargetFault::BreaksOff);
+    for engine in &fleet.platform.engines {
+        engine.set_fault(TargetFault::AbortsAnswers);
     }
     let asked = stream("/ask-once/1", 1000, 5);
     assert_eq!(
--- a/tests/testsuite/platform/faults.rs
+++ b/tests/testsuite/platform/faults.rs
@@ -14,22 +14,22 @@
     let mut fleet = fleet("again-born", 1).await;
     let node = fleet.nodes[0].callers();
     for n in 0..2 {
-        fleet.world.plain[n].set_fault(TargetFault::AnswersLost);
+        fleet.platform.plain[n].set_fault(TargetFault::AnswersLost);
     }
     for _ in 0..8 {
         let _ = Caller::default().ask(node, &plain("/post/1")).await;
     }
     for n in 0..2 {
-        fleet.world.restart_plain(n).await.unwrap();
+        fleet.platform.restart_plain(n).await.unwrap();
     }
     for n in 0..4 {
-        fleet.world.restart_engine(n).await.unwrap();
+        fleet.platform.restart_engine(n).await.unwrap();
     }
     tokio::time::sleep(Duration::from_millis(300)).await;
     for _ in 0..20 {
         let asked = plain("/post/1");
         assert_eq!(status(&fleet.nodes[0], &asked).await, 200);
-        assert_eq!(fleet.world.runs.of(&asked.attempt).count, 1);
+        assert_eq!(fleet.platform.runs.of(&asked.attempt).count, 1);
     }
     let answer = ask(&fleet.nodes[0], &stream("/ask/1", 2000, 4)).await;
     assert_eq!(answer.unwrap().status, 200);
@@ -48,16 +48,16 @@
         ("servers/zz", "\u{0}\u{1}"),
         ("op/config2", "{}"),
     ] {
-        fleet.world.store.put(key, value.to_owned());
+        fleet.platform.store.put(key, value.to_owned());
     }
     // More than a page of them: the next one begins after such a key.
     for n in 0..600 {
         let key = format!("servers/ &prefix=x {n}");
-        fleet.world.store.put(&key, "odd".to_owned());
+        fleet.platform.store.put(&key, "odd".to_owned());
     }
-    let hidden = fleet.world.plain[0].clone();
+    let hidden = fleet.platform.plain[0].clone();
     let key = format!("servers/{}", hidden.id());
-    fleet.world.store.put(&key, "[]".to_owned());
+    fleet.platform.store.put(&key, "[]".to_owned());
     tokio::time::sleep(Duration::from_millis(300)).await;
     for _ in 0..10 {
         assert_eq!(status(&fleet.nodes[0], &plain("/post/1")).await, 200);
@@ -77,18 +77,18 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_that_may_have_run_is_not_sent_again() {
     let fleet = fleet("once", 1).await;
-    for target in &fleet.world.plain {
+    for target in &fleet.platform.plain {
         target.set_fault(TargetFault::AnswersLost);
     }
     let asked = plain("/post/1");
     assert_eq!(status(&fleet.nodes[0], &asked).await, 502);
-    assert_eq!(fleet.world.runs.of(&asked.attempt).count, 1);
+    assert_eq!(fleet.platform.runs.of(&asked.attempt).count, 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_idempotent_request_is_sent_to_another_target() {
     let fleet = fleet("again", 1).await;
-    fleet.world.plain[0].set_fault(TargetFault::Mute);
+    fleet.platform.plain[0].set_fault(TargetFault::Silent);
     for _ in 0..6 {
         assert_eq!(status(&fleet.nodes[0], &plain("/note/1")).await, 200);
     }
@@ -97,22 +97,22 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_refusal_is_true_and_says_when_to_come_back() {
     let fleet = fleet("refused", 1).await;
-    for target in fleet.world.plain.iter().chain(&fleet.world.engines) {
-        target.set_fault(TargetFault::Full);
+    for target in fleet.platform.plain.iter().chain(&fleet.platform.engines) {
+        target.set_fault(TargetFault::DeclinesAll);
     }
     for asked in [plain("/post/1"), stream("/ask-once/1", 1000, 2)] {
         let answer = ask(&fleet.nodes[0], &asked).await.unwrap();
         assert_eq!(answer.status, 503);
         assert!(answer.has_retry_after);
-        assert_eq!(fleet.world.runs.of(&asked.attempt).count, 0);
+        assert_eq!(fleet.platform.runs.of(&asked.attempt).count, 0);
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_answer_to_another_request_is_not_passed_on() {
     let fleet = fleet("crossed", 1).await;
-    for target in &fleet.world.plain {
-        target.set_fault(TargetFault::Crossed);
+    for target in &fleet.platform.plain {
+        target.set_fault(TargetFault::WrongAttemptId);
     }
     let asked = plain("/post/1");
     assert_eq!(status(&fleet.nodes[0], &asked).await, 502);
@@ -122,14 +122,14 @@
 async fn a_stream_goes_on_at_another_engine_inside_one_answer() {
     let fleet = fleet("resume", 1).await;
     // Whichever engine begins breaks off inside the second event; the other one is well again.
-    for engine in &fleet.world.engines[..3] {
-        engine.set_fault(TargetFault::BreaksOff);
+    for engine in &fleet.platform.engines[..3] {
+        engine.set_fault(TargetFault::AbortsAnswers);
     }
     let mut resumed = 0;
     for _ in 0..6 {
         let asked = stream("/ask/1", 1500, 6);
         if ask(&fleet.nodes[0], &asked).await.is_ok() {
-            resumed += u32::from(fleet.world.runs.of(&asked.attempt).count == 2);
+            resumed += u32::from(fleet.platform.runs.of(&asked.attempt).count == 2);
         }
     }
     assert!(resumed >= 1, "no stream went on elsewhere");
@@ -138,24 +138,24 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_that_can_not_go_on_is_seen_to_be_incomplete() {
     let fleet = fleet("incomplete", 1).await;
-    for engine in &fleet.world.engines {
-        engine.set_fault(TargetFault::BreaksOff);
+    for engine in &fleet.platform.engines {
+        engine.set_fault(TargetFault::AbortsAnswers);
     }
     let asked = stream("/ask-once/1", 1500, 6);
     assert_eq!(
         ask(&fleet.nodes[0], &asked).await,
         Err(CallerError::BrokenOff)
     );
-    assert_eq!(fleet.world.runs.of(&asked.attempt).count, 1);
+    assert_eq!(fleet.platform.runs.of(&asked.attempt).count, 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_silent_engine_costs_a_stream_less_than_two_seconds() {
     let fleet = fleet("silent", 1).await;
-    fleet.world.engines[0].set_fault(TargetFault::Mute);
+    fleet.platform.engines[0].set_fault(TargetFault::Silent);
     for _ in 0..8 {
         let mut asked = stream("/ask/1", 1500, 3);
-        asked.patience = Duration::from_millis(1900);
+        asked.timeout = Duration::from_millis(1900);
         assert_eq!(status(&fleet.nodes[0], &asked).await, 200);
     }
 }
@@ -164,7 +164,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_silent_target_ends_no_answer_that_can_not_go_on_elsewhere() {
     let fleet = fleet("stalls", 1).await;
-    for engine in &fleet.world.engines {
+    for engine in &fleet.platform.engines {
         engine.set_fault(TargetFault::Stalls);
     }
     for path in ["/ask-once/1", "/ask/1"] {
--- a/tests/testsuite/platform/quarantine_command.rs
+++ b/tests/testsuite/platform/quarantine_command.rs
@@ -3,7 +3,7 @@
 use std::process::{Command, Output};
 use std::time::Duration;
 
-use azuresaddle_standin::platform::WorldOptions;
+use azuresaddle_standin::platform::PlatformOptions;
 use azuresaddle_standin::soak::{Fleet, FleetOptions};
 use bytes::Bytes;
 
@@ -24,16 +24,19 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_operator_lists_and_ends_a_quarantine() {
-    let world = WorldOptions {
+    let world = PlatformOptions {
         engines: 6,
         plain: 2,
     };
-    let options = FleetOptions { nodes: 3, world };
+    let options = FleetOptions {
+        nodes: 3,
+        platform: world,
+    };
     let opened = Fleet::open(program(), &dir("quarantine-command"), options).await;
     let mut fleet = opened.unwrap();
     tokio::time::sleep(TELLING).await;
     let body = Bytes::from_static(b"{\"listed\":1}");
-    fleet.world.crashes.make_crash(body.clone());
+    fleet.platform.crashing_requests.add(body.clone());
     let asked = || {
         let mut asked = stream("/ask/1", 1500, 6);
         asked.body = body.clone();
@@ -44,7 +47,7 @@
         let answer = ask(&fleet.nodes[n % 3], &asked()).await;
         assert!(!matches!(answer, Ok(ref a) if a.status == 200));
         tokio::time::sleep(Duration::from_millis(150)).await;
-        fleet.world.restart_ended().await.unwrap();
+        fleet.platform.restart_ended().await.unwrap();
     }
     let listed = quarantine(&fleet, &["list"]);
     assert!(listed.status.success(), "{listed:?}");
@@ -52,15 +55,18 @@
     let request = text.lines().nth(1).unwrap().split_whitespace().next();
     let request = request.unwrap().to_owned();
 
-    let reached = fleet.world.crashes.reached(&body);
+    let reached = fleet.platform.crashing_requests.targets_reached(&body);
     assert_eq!(ask(&fleet.nodes[1], &asked()).await.unwrap().status, 503);
-    assert_eq!(fleet.world.crashes.reached(&body), reached);
+    assert_eq!(
+        fleet.platform.crashing_requests.targets_reached(&body),
+        reached
+    );
     let ended = quarantine(&fleet, &["end", &request]);
     assert!(ended.status.success(), "{ended:?}");
     tokio::time::sleep(TELLING).await;
     // It is sent to targets again, by another node too.
     let _ = ask(&fleet.nodes[1], &asked()).await;
-    assert!(fleet.world.crashes.reached(&body) > reached);
+    assert!(fleet.platform.crashing_requests.targets_reached(&body) > reached);
     let again = quarantine(&fleet, &["end", "00000000000000000000000000000001"]);
     assert_eq!(again.status.code(), Some(1));
     let wrong = quarantine(&fleet, &["end", "nothing"]);
--- a/tests/testsuite/platform/repeats.rs
+++ b/tests/testsuite/platform/repeats.rs
@@ -10,7 +10,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use azuresaddle_standin::platform::{Asked, Caller, StoreFault, WorldOptions};
+use azuresaddle_standin::platform::{Caller, CallerRequest, PlatformOptions, StoreFault};
 use azuresaddle_standin::soak::{Fleet, FleetOptions, NodeProcess};
 use bytes::Bytes;
 use nix::sys::signal::Signal;
@@ -31,15 +31,18 @@
 
 /// Nodes before enough targets that some are left while others have ended.
 async fn large_fleet(test: &str) -> Fleet {
-    let world = WorldOptions {
+    let world = PlatformOptions {
         engines: 6,
         plain: 4,
     };
     fleet_of(test, world).await
 }
 
-async fn fleet_of(test: &str, world: WorldOptions) -> Fleet {
-    let options = FleetOptions { nodes: 3, world };
+async fn fleet_of(test: &str, world: PlatformOptions) -> Fleet {
+    let options = FleetOptions {
+        nodes: 3,
+        platform: world,
+    };
     let fleet = Fleet::open(program(), &dir(test), options).await.unwrap();
     // The targets' entries follow the configuration by a moment.
     tokio::time::sleep(Duration::from_millis(400)).await;
@@ -48,8 +51,8 @@
 
 /// Sends the same request again and again, to one node after the other, while the targets that it ends are
 /// started again; returns how many targets it has reached.
-async fn repeat(fleet: &mut Fleet, asked: impl Fn() -> Asked, body: &Bytes) -> usize {
-    fleet.world.crashes.make_crash(body.clone());
+async fn repeat(fleet: &mut Fleet, asked: impl Fn() -> CallerRequest, body: &Bytes) -> usize {
+    fleet.platform.crashing_requests.add(body.clone());
     for n in 0..ATTEMPTS {
         let asked = with_body(asked(), body);
         let node = &fleet.nodes[n % fleet.nodes.len()];
@@ -59,9 +62,9 @@
             "{answer:?}"
         );
         tokio::time::sleep(PAUSE).await;
-        fleet.world.restart_ended().await.unwrap();
+        fleet.platform.restart_ended().await.unwrap();
     }
-    fleet.world.crashes.reached(body)
+    fleet.platform.crashing_requests.targets_reached(body)
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -86,17 +89,26 @@
 }
 
 /// An attempt of a request that is in quarantine has its answer at once: it has not run.
-async fn assert_quarantined(fleet: &Fleet, node: usize, asked: &Asked) {
-    let reached = fleet.world.crashes.reached(&asked.body);
+async fn assert_quarantined(fleet: &Fleet, node: usize, asked: &CallerRequest) {
+    let reached = fleet
+        .platform
+        .crashing_requests
+        .targets_reached(&asked.body);
     let answer = ask(&fleet.nodes[node], asked).await.unwrap();
     assert_eq!(answer.status, 503);
     assert!(answer.has_retry_after);
-    assert_eq!(fleet.world.runs.of(&asked.attempt).count, 0);
-    assert_eq!(fleet.world.crashes.reached(&asked.body), reached);
+    assert_eq!(fleet.platform.runs.of(&asked.attempt).count, 0);
+    assert_eq!(
+        fleet
+            .platform
+            .crashing_requests
+            .targets_reached(&asked.body),
+        reached
+    );
 }
 
-fn with_body(asked: Asked, body: &Bytes) -> Asked {
-    Asked {
+fn with_body(asked: CallerRequest, body: &Bytes) -> CallerRequest {
+    CallerRequest {
         body: body.clone(),
         ..asked
     }
@@ -129,7 +141,7 @@
 async fn nodes_tell_each_other_while_the_store_is_down() {
     let mut fleet = large_fleet("crashing-store-down").await;
     // Known to control only after a watch has failed; the nodes keep their targets.
-    fleet.world.store.set_fault(StoreFault::Unavailable);
+    fleet.platform.store.set_fault(StoreFault::Unavailable);
     let body = Bytes::from_static(b"{\"e\":1}");
     let reached = repeat(&mut fleet, || stream("/ask/1", 1500, 6), &body).await;
     assert!(reached <= CRASHES + MOST_LATER_SENDS, "{reached} engines");
@@ -138,7 +150,7 @@
         assert_quarantined(&fleet, n, &asked).await;
     }
     // The store learns of it when it is back.
-    fleet.world.store.set_fault(StoreFault::None);
+    fleet.platform.store.set_fault(StoreFault::None);
     tokio::time::sleep(Duration::from_millis(2500)).await;
     for node in &mut fleet.nodes {
         node.signal(Signal::SIGKILL);
@@ -156,12 +168,12 @@
 /// takes requests again.
 #[tokio::test(flavor = "multi_thread")]
 async fn each_end_of_a_target_counts_though_its_new_start_is_not_known() {
-    let world = WorldOptions {
+    let world = PlatformOptions {
         engines: 2,
         plain: 1,
     };
     let mut fleet = fleet_of("crashing-unseen", world).await;
-    fleet.world.store.set_fault(StoreFault::Unavailable);
+    fleet.platform.store.set_fault(StoreFault::Unavailable);
     let body = Bytes::from_static(b"{\"h\":1}");
     let reached = repeat(&mut fleet, || stream("/ask/1", 1500, 6), &body).await;
     assert!(reached <= CRASHES + MOST_LATER_SENDS, "{reached} engines");
@@ -236,7 +248,7 @@
 async fn the_answer_says_whether_it_has_run_and_the_trace_says_why() {
     let mut fleet = large_fleet("crashing-answers").await;
     let body = Bytes::from_static(b"{\"g\":1}");
-    fleet.world.crashes.make_crash(body.clone());
+    fleet.platform.crashing_requests.add(body.clone());
     for path in ["/ask/1", "/note/1"] {
         let mut last = String::new();
         for n in 0..6 {
@@ -245,14 +257,14 @@
                 _ => with_body(plain(path), &body),
             };
             let answer = ask(&fleet.nodes[n % 3], &asked).await;
-            let ran = fleet.world.runs.of(&asked.attempt).count > 0;
+            let ran = fleet.platform.runs.of(&asked.attempt).count > 0;
             let refused = matches!(answer, Ok(ref a) if a.status == 503);
             assert_ne!(ran, refused, "{answer:?}");
             last = asked.attempt;
             tokio::time::sleep(PAUSE).await;
-            fleet.world.restart_ended().await.unwrap();
+            fleet.platform.restart_ended().await.unwrap();
         }
-        assert_eq!(fleet.world.runs.of(&last).count, 0, "{path}");
+        assert_eq!(fleet.platform.runs.of(&last).count, 0, "{path}");
         tokio::time::sleep(Duration::from_millis(300)).await;
         let life = trace(&fleet, &last);
         assert!(life.contains("request in quarantine"), "{life}");
--- a/tests/testsuite/platform/signals.rs
+++ b/tests/testsuite/platform/signals.rs
@@ -2,10 +2,8 @@
 
 use std::time::Duration;
 
-use azuresaddle_standin::platform::{Asked, Signals, TargetHandle};
-use azuresaddle_standin::rate_limit_check::{
-    ADJUSTMENT_TIME, WINDOW, max_requests_in_window, peak_requests_in_window,
-};
+use azuresaddle_standin::limit_check::{SETTLE, SPAN, allowed, most_in_a_span};
+use azuresaddle_standin::platform::{CallerRequest, Signals, TargetHandle};
 use azuresaddle_standin::soak::Fleet;
 use tokio::time::Instant;
 
@@ -26,7 +24,7 @@
     fleet: &Fleet,
     length: Duration,
     pause: Duration,
-    asked: impl Fn() -> Asked,
+    asked: impl Fn() -> CallerRequest,
 ) -> Vec<u16> {
     let end = Instant::now() + length;
     let callers = fleet.nodes.iter().map(|node| async {
@@ -49,7 +47,7 @@
     fleet: &Fleet,
     target: &TargetHandle,
     pause: Duration,
-    asked: impl Fn() -> Asked,
+    asked: impl Fn() -> CallerRequest,
 ) -> f64 {
     let from = Instant::now();
     let loads = (0..4).map(|_| load(fleet, Duration::from_secs(1), pause, &asked));
@@ -78,7 +76,7 @@
 async fn what_a_target_asks_for_is_in_the_logs() {
     let fleet = fleet("signals", 1).await;
     let node = &fleet.nodes[0];
-    for target in &fleet.world.plain {
+    for target in &fleet.platform.plain {
         target.set_signals(Signals {
             rate_limit: Some(50.0),
             is_draining: true,
@@ -88,7 +86,7 @@
     assert_eq!(status(node, &plain("/note/1")).await, 200);
     assert!(logged(&fleet, "target limits its rate").await);
     assert!(logged(&fleet, "target is draining").await);
-    for target in &fleet.world.plain {
+    for target in &fleet.platform.plain {
         target.set_signals(Signals {
             back_off: Some(Duration::from_secs(3)),
             ..Signals::default()
@@ -103,25 +101,15 @@
 async fn engines_that_limit_their_rate_get_no_more_from_all_nodes_together() {
     let fleet = fleet("limited-engines", 3).await;
     let rate = 1.5;
-    for engine in &fleet.world.engines[..2] {
+    for engine in &fleet.platform.engines[..2] {
         engine.set_signals(limited(rate));
     }
     let named_at = Instant::now();
     let asked = || stream("/ask/1", 1500, 2);
-    let statuses = load(
-        &fleet,
-        ADJUSTMENT_TIME + WINDOW * 2,
-        Duration::from_millis(60),
-        asked,
-    )
-    .await;
-    for engine in &fleet.world.engines[..2] {
-        let most = most_since(engine, named_at + ADJUSTMENT_TIME);
-        assert!(
-            most <= max_requests_in_window(rate),
-            "{most} of {}",
-            max_requests_in_window(rate)
-        );
+    let statuses = load(&fleet, SETTLE + SPAN * 2, Duration::from_millis(60), asked).await;
+    for engine in &fleet.platform.engines[..2] {
+        let most = most_since(engine, named_at + SETTLE);
+        assert!(most <= allowed(rate), "{most} of {}", allowed(rate));
     }
     // The others have room for all.
     assert!(statuses.iter().all(|s| *s == 200), "{statuses:?}");
@@ -131,22 +119,12 @@
 async fn a_plain_target_that_limits_its_rate_gets_no_more_from_all_nodes_together() {
     let fleet = fleet("limited-plain", 3).await;
     let rate = 1.0;
-    fleet.world.plain[0].set_signals(limited(rate));
+    fleet.platform.plain[0].set_signals(limited(rate));
     let named_at = Instant::now();
     let asked = || plain("/post/1");
-    let statuses = load(
-        &fleet,
-        ADJUSTMENT_TIME + WINDOW * 2,
-        Duration::from_millis(60),
-        asked,
-    )
-    .await;
-    let most = most_since(&fleet.world.plain[0], named_at + ADJUSTMENT_TIME);
-    assert!(
-        most <= max_requests_in_window(rate),
-        "{most} of {}",
-        max_requests_in_window(rate)
-    );
+    let statuses = load(&fleet, SETTLE + SPAN * 2, Duration::from_millis(60), asked).await;
+    let most = most_since(&fleet.platform.plain[0], named_at + SETTLE);
+    assert!(most <= allowed(rate), "{most} of {}", allowed(rate));
     assert!(statuses.iter().all(|s| *s == 200), "{statuses:?}");
 }
 
@@ -154,7 +132,7 @@
 async fn what_the_limits_of_all_targets_leave_out_is_refused_at_once() {
     let fleet = fleet("limited-all", 3).await;
     let rate = 2.0;
-    for target in &fleet.world.plain {
+    for target in &fleet.platform.plain {
         target.set_signals(limited(rate));
     }
     let asked = || plain("/post/1");
@@ -162,7 +140,7 @@
     let began = Instant::now();
     let statuses = load(&fleet, WINDOW * 2, Duration::from_millis(100), asked).await;
     let served = statuses.iter().filter(|s| **s == 200).count() as f64;
-    let offered = rate * fleet.world.plain.len() as f64 * began.elapsed().as_secs_f64();
+    let offered = rate * fleet.platform.plain.len() as f64 * began.elapsed().as_secs_f64();
     assert!(served >= offered * 0.7, "{served} of {offered}");
     assert!(
         statuses.iter().all(|s| [200, 503].contains(s)),
@@ -170,7 +148,7 @@
     );
     // A refusal costs less than the pause between two requests.
     assert!(statuses.len() >= 120, "{}", statuses.len());
-    for target in &fleet.world.plain {
+    for target in &fleet.platform.plain {
         let most = most_since(target, began);
         assert!(
             most <= max_requests_in_window(rate),
@@ -183,7 +161,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_target_that_lifts_its_limit_gets_its_share_again() {
     let fleet = fleet("limit-lifted", 2).await;
-    let target = &fleet.world.plain[0];
+    let target = &fleet.platform.plain[0];
     let asked = || plain("/post/1");
     target.set_signals(limited(1.0));
     load(&fleet, ADJUSTMENT_TIME, Duration::from_millis(60), asked).await;
@@ -209,7 +187,7 @@
 
 /// Loads nodes for the drain time, then counts what still arrives at targets that have said that they leave. The store
 /// takes no entry at the time, so only the targets' answers tell.
-async fn check_leaving(fleet: &Fleet, leavers: &[TargetHandle], asked: impl Fn() -> Asked) {
+async fn check_leaving(fleet: &Fleet, leavers: &[TargetHandle], asked: impl Fn() -> CallerRequest) {
     for target in leavers {
         target.set_signals(leaving());
     }
@@ -227,26 +205,26 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_plain_target_that_says_that_it_leaves_gets_nothing_after_the_drain_time() {
     let fleet = fleet("leaving-plain", 3).await;
-    check_leaving(&fleet, &fleet.world.plain[..1], || plain("/post/1")).await;
+    check_leaving(&fleet, &fleet.platform.plain[..1], || plain("/post/1")).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn engines_that_say_that_they_leave_get_nothing_after_the_drain_time() {
     let fleet = fleet("leaving-engines", 3).await;
     let asked = || stream("/ask/1", 1500, 2);
-    check_leaving(&fleet, &fleet.world.engines[..2], asked).await;
+    check_leaving(&fleet, &fleet.platform.engines[..2], asked).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_target_that_has_started_again_leaves_no_more() {
     let mut fleet = fleet("leaving-restarted", 1).await;
-    fleet.world.plain[0].set_signals(leaving());
+    fleet.platform.plain[0].set_signals(leaving());
     let asked = || plain("/note/1");
     let pause = Duration::from_millis(20);
     load(&fleet, Duration::from_secs(1), pause, asked).await;
-    fleet.world.restart_plain(0).await.unwrap();
+    fleet.platform.restart_plain(0).await.unwrap();
     tokio::time::sleep(Duration::from_millis(500)).await;
-    let share = share_of_crowd(&fleet, &fleet.world.plain[0], pause, asked).await;
+    let share = share_of_crowd(&fleet, &fleet.platform.plain[0], pause, asked).await;
     assert!(share >= LEAST_SHARE, "{share}");
 }
 
@@ -261,7 +239,7 @@
 }
 
 /// Loads a node that targets have asked for a pause, and counts what arrives there all the same.
-async fn check_pause(fleet: &Fleet, asking: &[TargetHandle], asked: impl Fn() -> Asked) {
+async fn check_pause(fleet: &Fleet, asking: &[TargetHandle], asked: impl Fn() -> CallerRequest) {
     for target in asking {
         target.set_signals(backing_off(6.0));
     }
@@ -283,20 +261,20 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_plain_target_that_asks_for_a_pause_gets_no_more_repeats_in_it() {
     let fleet = fleet("back-off-plain", 1).await;
-    check_pause(&fleet, &fleet.world.plain[..1], || plain("/post/1")).await;
+    check_pause(&fleet, &fleet.platform.plain[..1], || plain("/post/1")).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn engines_that_ask_for_a_pause_get_no_more_streams_in_it() {
     let fleet = fleet("back-off-engines", 1).await;
     let asked = || stream("/ask/1", 1500, 2);
-    check_pause(&fleet, &fleet.world.engines[..2], asked).await;
+    check_pause(&fleet, &fleet.platform.engines[..2], asked).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn where_all_targets_ask_for_a_pause_requests_are_refused_until_it_ends() {
     let fleet = fleet("back-off-all", 1).await;
-    for target in fleet.world.plain.iter().chain(&fleet.world.engines) {
+    for target in fleet.platform.plain.iter().chain(&fleet.platform.engines) {
         target.set_signals(backing_off(1.5));
     }
     let asked = [plain("/post/1"), stream("/ask/1", 1500, 2)];
@@ -304,10 +282,17 @@
         assert_eq!(status(&fleet.nodes[0], asked).await, 503);
     }
     // Each target is asked once; after that none is.
-    for target in fleet.world.plain.iter().chain(&fleet.world.engines) {
+    for target in fleet.platform.plain.iter().chain(&fleet.platform.engines) {
         target.set_signals(Signals::default());
     }
-    let arrived = || -> usize { fleet.world.plain.iter().map(|t| t.arrivals().len()).sum() };
+    let arrived = || -> usize {
+        fleet
+            .platform
+            .plain
+            .iter()
+            .map(|t| t.arrivals().len())
+            .sum()
+    };
     let before = arrived();
     let began = Instant::now();
     assert_eq!(status(&fleet.nodes[0], &plain("/post/1")).await, 503);
--- a/tests/testsuite/platform/soak.rs
+++ b/tests/testsuite/platform/soak.rs
@@ -38,7 +38,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn promises_hold_where_the_store_goes_back_beside_other_faults() {
     let faults = FaultOptions {
-        has_store_returns: true,
+        has_store_rollbacks: true,
         ..RESTARTS
     };
     soak(9, 3, faults, 0).await;
@@ -46,7 +46,7 @@
 
 const RESTARTS: FaultOptions = FaultOptions {
     has_restarts: true,
-    has_store_returns: false,
+    has_store_rollbacks: false,
     has_signals: false,
 };
 
--- a/tests/testsuite/platform/store_return.rs
+++ b/tests/testsuite/platform/store_return.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use azuresaddle_standin::platform::{StoreFault, StoreReturn, TargetHandle, WorldOptions};
+use azuresaddle_standin::platform::{PlatformOptions, StoreFault, StoreRollback, TargetHandle};
 use azuresaddle_standin::soak::{Fleet, FleetOptions, ProxyMode};
 use bytes::Bytes;
 use nix::sys::signal::Signal;
@@ -30,21 +30,24 @@
 /// Time within which a change is in force everywhere.
 const APPLY: Duration = Duration::from_millis(1800);
 
-fn back(seed: u64) -> StoreReturn {
-    StoreReturn {
-        away: AWAY,
-        by: COPY_AGE,
+fn back(seed: u64) -> StoreRollback {
+    StoreRollback {
+        outage: AWAY,
+        copy_age: COPY_AGE,
         seed,
     }
 }
 
 /// Nodes that have run for longer than the copy is old.
 async fn settled_fleet(test: &str) -> Fleet {
-    let world = WorldOptions {
+    let world = PlatformOptions {
         engines: 4,
         plain: 4,
     };
-    let options = FleetOptions { nodes: 3, world };
+    let options = FleetOptions {
+        nodes: 3,
+        platform: world,
+    };
     let fleet = Fleet::open(program(), &dir(test), options).await.unwrap();
     tokio::time::sleep(COPY_AGE + Duration::from_millis(400)).await;
     fleet
@@ -58,7 +61,7 @@
         for node in &fleet.nodes {
             let answer = ask(node, &plain("/note/1")).await.unwrap();
             assert_eq!(answer.status, 200);
-            let seal = answer.seal.unwrap_or_default();
+            let seal = answer.signature.unwrap_or_default();
             reached |= seal.starts_with(target.id());
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
@@ -69,11 +72,11 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_target_that_drains_stays_without_work() {
     let fleet = settled_fleet("return-drain").await;
-    let leaving = fleet.world.plain[0].clone();
+    let leaving = fleet.platform.plain[0].clone();
     assert!(reaches(&fleet, &leaving, Duration::from_millis(400)).await);
-    fleet.world.drain(&leaving);
+    fleet.platform.drain(&leaving);
     tokio::time::sleep(Duration::from_millis(300)).await;
-    fleet.world.return_store(back(1)).await;
+    fleet.platform.roll_back_store(back(1)).await;
     assert!(!reaches(&fleet, &leaving, SETTLED).await);
 }
 
@@ -81,16 +84,16 @@
 async fn a_target_that_drains_after_the_return_gets_no_work() {
     let mut fleet = settled_fleet("return-drain-after").await;
     for _ in 0..40 {
-        fleet.world.write_configuration();
+        fleet.platform.write_configuration();
     }
     // Its entry has a revision that the store gives out once more, much later.
-    fleet.world.restart_plain(1).await.unwrap();
+    fleet.platform.restart_plain(1).await.unwrap();
     tokio::time::sleep(Duration::from_millis(300)).await;
-    fleet.world.return_store(back(2)).await;
+    fleet.platform.roll_back_store(back(2)).await;
     tokio::time::sleep(SETTLED).await;
-    let leaving = fleet.world.plain[1].clone();
+    let leaving = fleet.platform.plain[1].clone();
     assert!(reaches(&fleet, &leaving, Duration::from_millis(400)).await);
-    fleet.world.drain(&leaving);
+    fleet.platform.drain(&leaving);
     tokio::time::sleep(Duration::from_millis(500)).await;
     assert!(!reaches(&fleet, &leaving, Duration::from_millis(500)).await);
 }
@@ -98,10 +101,10 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_target_that_left_stays_without_work_also_at_a_new_node() {
     let mut fleet = settled_fleet("return-left").await;
-    let gone = fleet.world.plain[2].clone();
-    fleet.world.deregister(&gone);
+    let gone = fleet.platform.plain[2].clone();
+    fleet.platform.deregister(&gone);
     tokio::time::sleep(Duration::from_millis(300)).await;
-    fleet.world.return_store(back(3)).await;
+    fleet.platform.roll_back_store(back(3)).await;
     // It reads the copy, in which the target is ready.
     fleet.nodes[2].signal(Signal::SIGKILL);
     assert!(fleet.nodes[2].until_ended(Duration::from_secs(2)).await);
@@ -113,20 +116,20 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_target_that_the_copy_lacks_keeps_its_work_and_is_gone_where_it_never_writes_again() {
     let mut fleet = settled_fleet("return-unknown").await;
-    fleet.world.add_plain().await.unwrap();
-    let new = fleet.world.plain[4].clone();
+    fleet.platform.add_plain().await.unwrap();
+    let new = fleet.platform.plain[4].clone();
     tokio::time::sleep(Duration::from_millis(300)).await;
     assert!(reaches(&fleet, &new, Duration::from_millis(400)).await);
-    fleet.world.return_store(back(4)).await;
+    fleet.platform.roll_back_store(back(4)).await;
     assert!(reaches(&fleet, &new, Duration::from_millis(900)).await);
     tokio::time::sleep(SETTLED).await;
     assert!(reaches(&fleet, &new, Duration::from_millis(400)).await);
 
-    fleet.world.add_plain().await.unwrap();
-    let lost = fleet.world.plain[5].clone();
+    fleet.platform.add_plain().await.unwrap();
+    let lost = fleet.platform.plain[5].clone();
     tokio::time::sleep(Duration::from_millis(300)).await;
-    fleet.world.forget(&lost);
-    fleet.world.return_store(back(5)).await;
+    fleet.platform.abandon_entry(&lost);
+    fleet.platform.roll_back_store(back(5)).await;
     tokio::time::sleep(SETTLED).await;
     assert!(!reaches(&fleet, &lost, Duration::from_millis(400)).await);
 }
@@ -135,7 +138,7 @@
 async fn a_configuration_in_force_never_goes_back_also_at_a_new_node() {
     let mut fleet = settled_fleet("return-configuration").await;
     fleet
-        .world
+        .platform
         .change_configuration(|c| c.accounts[0].keys.push("key-3".to_owned()));
     let mut asked = plain("/note/1");
     asked.key = "key-3".to_owned();
@@ -143,7 +146,7 @@
     for node in &fleet.nodes {
         assert_eq!(status(node, &asked).await, 200);
     }
-    fleet.world.return_store(back(6)).await;
+    fleet.platform.roll_back_store(back(6)).await;
     fleet.nodes[1].signal(Signal::SIGKILL);
     assert!(fleet.nodes[1].until_ended(Duration::from_secs(2)).await);
     fleet.nodes[1].start().unwrap();
@@ -157,7 +160,7 @@
     }
     // A later one is in force in time.
     fleet
-        .world
+        .platform
         .change_configuration(|c| c.accounts[0].keys.retain(|k| k != "key-3"));
     tokio::time::sleep(APPLY).await;
     for node in &fleet.nodes {
@@ -169,26 +172,26 @@
 async fn a_node_that_misses_the_return_sees_what_was_written_since() {
     let mut fleet = settled_fleet("return-missed").await;
     for _ in 0..40 {
-        fleet.world.write_configuration();
+        fleet.platform.write_configuration();
     }
     tokio::time::sleep(Duration::from_millis(300)).await;
     fleet.store_proxies[0].set_mode(ProxyMode::Reset);
     for n in 1..3 {
         fleet.nodes[n].signal(Signal::SIGKILL);
     }
-    fleet.world.return_store(back(7)).await;
-    let leaving = fleet.world.plain[3].clone();
-    fleet.world.drain(&leaving);
+    fleet.platform.roll_back_store(back(7)).await;
+    let leaving = fleet.platform.plain[3].clone();
+    fleet.platform.drain(&leaving);
     tokio::time::sleep(SETTLED).await;
     // Revisions have grown past what the cut-off node knows.
     for _ in 0..40 {
-        fleet.world.write_configuration();
+        fleet.platform.write_configuration();
     }
     fleet.store_proxies[0].set_mode(ProxyMode::Pass);
     tokio::time::sleep(APPLY).await;
     for _ in 0..20 {
         let answer = ask(&fleet.nodes[0], &plain("/note/1")).await.unwrap();
-        let seal = answer.seal.unwrap_or_default();
+        let seal = answer.signature.unwrap_or_default();
         assert!(!seal.starts_with(leaving.id()), "{seal}");
     }
 }
@@ -197,23 +200,23 @@
 async fn what_is_in_quarantine_is_written_again_within_a_second() {
     let mut fleet = settled_fleet("return-quarantine").await;
     let body = Bytes::from_static(b"{\"return\":1}");
-    fleet.world.crashes.make_crash(body.clone());
+    fleet.platform.crashing_requests.add(body.clone());
     for n in 0..6 {
         let mut asked = stream("/ask/1", 1500, 6);
         asked.body = body.clone();
         let answer = ask(&fleet.nodes[n % 3], &asked).await;
         assert!(!matches!(answer, Ok(ref a) if a.status == 200));
         tokio::time::sleep(Duration::from_millis(150)).await;
-        fleet.world.restart_ended().await.unwrap();
+        fleet.platform.restart_ended().await.unwrap();
     }
-    let written = |fleet: &Fleet| fleet.world.store.keys("azuresaddle/crashes/");
+    let written = |fleet: &Fleet| fleet.platform.store.keys("azuresaddle/crashes/");
     tokio::time::sleep(Duration::from_millis(500)).await;
     let before = written(&fleet);
     assert!(before.len() >= 3, "{before:?}");
     // The quarantine came after the copy; also where the store goes back twice in a row.
     for seed in [8, 9] {
-        fleet.world.return_store(back(seed)).await;
-        assert_eq!(fleet.world.store.fault(), StoreFault::None);
+        fleet.platform.roll_back_store(back(seed)).await;
+        assert_eq!(fleet.platform.store.fault(), StoreFault::None);
         tokio::time::sleep(NOTICED).await;
         let after = written(&fleet);
         assert!(before.iter().all(|k| after.contains(k)), "{after:?}");
--- a/tests/testsuite/platform/support.rs
+++ b/tests/testsuite/platform/support.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-use azuresaddle_standin::platform::{Answer, Asked, Caller, CallerError};
+use azuresaddle_standin::platform::{Answer, Caller, CallerError, CallerRequest};
 use azuresaddle_standin::soak::{Fleet, FleetOptions, NodeProcess};
 
 static ATTEMPTS: AtomicU64 = AtomicU64::new(1);
@@ -35,33 +35,33 @@
 }
 
 /// A plain request.
-pub(super) fn plain(path: &str) -> Asked {
-    Asked {
+pub(super) fn plain(path: &str) -> CallerRequest {
+    CallerRequest {
         attempt: format!("{:016x}", ATTEMPTS.fetch_add(1, Ordering::Relaxed)),
         path: path.to_owned(),
         host: "desk.example".to_owned(),
         key: "key-1".to_owned(),
         tokens: None,
         body: "{}".into(),
-        patience: Duration::from_secs(5),
+        timeout: Duration::from_secs(5),
     }
 }
 
 /// A request that is answered by events.
-pub(super) fn stream(path: &str, prompt: u64, events: u64) -> Asked {
-    Asked {
+pub(super) fn stream(path: &str, prompt: u64, events: u64) -> CallerRequest {
+    CallerRequest {
         tokens: Some((prompt, events * 46)),
         ..plain(path)
     }
 }
 
 /// Asks a node on a new connection.
-pub(super) async fn ask(node: &NodeProcess, asked: &Asked) -> Result<Answer, CallerError> {
+pub(super) async fn ask(node: &NodeProcess, asked: &CallerRequest) -> Result<Answer, CallerError> {
     Caller::default().ask(node.callers(), asked).await
 }
 
 /// Asks a node and returns the status of its answer.
-pub(super) async fn status(node: &NodeProcess, asked: &Asked) -> u16 {
+pub(super) async fn status(node: &NodeProcess, asked: &CallerRequest) -> u16 {
     ask(node, asked).await.unwrap().status.as_u16()
 }
 
--- a/tests/testsuite/platform/way.rs
+++ b/tests/testsuite/platform/way.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use azuresaddle_standin::platform::{Run, StoreFault};
+use azuresaddle_standin::platform::{AttemptRuns, StoreFault};
 use nix::sys::signal::Signal;
 
 use super::support::{ask, fleet, plain, status, stream};
@@ -15,8 +15,8 @@
             let asked = plain(path);
             let answer = ask(node, &asked).await.unwrap();
             assert_eq!(answer.status, 200);
-            let run = fleet.world.runs.of(&asked.attempt);
-            let expected = Run {
+            let run = fleet.platform.runs.of(&asked.attempt);
+            let expected = AttemptRuns {
                 count: 1,
                 account: Some("advisers".to_owned()),
                 has_key: false,
@@ -28,7 +28,7 @@
             let asked = stream("/ask/1", prompt, events);
             let answer = ask(node, &asked).await.unwrap();
             assert_eq!(answer.status, 200, "{answer:?}");
-            assert_eq!(fleet.world.runs.of(&asked.attempt).count, 1);
+            assert_eq!(fleet.platform.runs.of(&asked.attempt).count, 1);
         }
     }
 }
@@ -40,7 +40,7 @@
     fleet.nodes[0].signal(Signal::SIGKILL);
     tokio::time::sleep(Duration::from_millis(100)).await;
     fleet
-        .world
+        .platform
         .store
         .set_fault(StoreFault::Slow(Duration::from_millis(50)));
     fleet.nodes[0].start().unwrap();
@@ -53,7 +53,7 @@
         }
     };
     assert_eq!(answer.status, 200);
-    assert_eq!(fleet.world.runs.of(&asked.attempt).count, 1);
+    assert_eq!(fleet.platform.runs.of(&asked.attempt).count, 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -63,7 +63,7 @@
     let answer = ask(&fleet.nodes[0], &asked).await.unwrap();
     assert_eq!(answer.status, 200, "{answer:?}");
     tokio::time::sleep(Duration::from_millis(300)).await;
-    assert_eq!(fleet.world.reserved_tokens(), 0);
+    assert_eq!(fleet.platform.reserved_tokens(), 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
--- a/tests/testsuite/platform/wire_faults.rs
+++ b/tests/testsuite/platform/wire_faults.rs
@@ -3,25 +3,25 @@
 
 use std::time::Duration;
 
-use azuresaddle_standin::platform::{Arrivals, Asked, Caller, RawAnswer, TargetFault};
+use azuresaddle_standin::platform::{Arrivals, Caller, CallerRequest, ProtocolFault, TargetFault};
 use azuresaddle_standin::soak::Fleet;
 
 use super::support::{ask, fleet, plain, status, stream};
 
 /// A node before one plain target that answers that way.
-async fn raw_fleet(test: &str, answer: RawAnswer) -> (Fleet, Arrivals) {
+async fn raw_fleet(test: &str, answer: ProtocolFault) -> (Fleet, Arrivals) {
     let mut fleet = fleet(test, 1).await;
-    for target in &fleet.world.plain {
-        fleet.world.deregister(target);
+    for target in &fleet.platform.plain {
+        fleet.platform.deregister(target);
     }
-    let arrivals = fleet.world.add_raw(answer).await.unwrap();
+    let arrivals = fleet.platform.add_raw(answer).await.unwrap();
     tokio::time::sleep(Duration::from_millis(400)).await;
     (fleet, arrivals)
 }
 
 /// A request whose body is whole only if it is all of one letter.
-fn lettered(path: &str, bytes: usize) -> Asked {
-    Asked {
+fn lettered(path: &str, bytes: usize) -> CallerRequest {
+    CallerRequest {
         body: vec![b'x'; bytes].into(),
         ..plain(path)
     }
@@ -29,7 +29,7 @@
 
 /// Sends requests on one connection; their statuses. The caller checks that each successful answer
 /// is its own and whole.
-async fn ask_in_turn(fleet: &Fleet, all: &[Asked]) -> Vec<u16> {
+async fn ask_in_turn(fleet: &Fleet, all: &[CallerRequest]) -> Vec<u16> {
     let mut caller = Caller::default();
     let mut statuses = Vec::new();
     for asked in all {
@@ -39,20 +39,20 @@
     statuses
 }
 
-fn assert_ran_once(fleet: &Fleet, all: &[Asked]) {
+fn assert_ran_once(fleet: &Fleet, all: &[CallerRequest]) {
     for asked in all {
-        assert_eq!(fleet.world.runs.of(&asked.attempt).count, 1, "{asked:?}");
+        assert_eq!(fleet.platform.runs.of(&asked.attempt).count, 1, "{asked:?}");
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn surplus_and_repeated_answers_reach_nobody() {
     for (test, answer) in [
-        ("surplus", RawAnswer::Surplus),
-        ("repeated", RawAnswer::Repeated),
+        ("surplus", ProtocolFault::Surplus),
+        ("repeated", ProtocolFault::Repeated),
     ] {
         let (fleet, arrivals) = raw_fleet(test, answer).await;
-        let all: Vec<Asked> = (0..6).map(|_| lettered("/post/1", 40)).collect();
+        let all: Vec<CallerRequest> = (0..6).map(|_| lettered("/post/1", 40)).collect();
         let statuses = ask_in_turn(&fleet, &all).await;
         assert_eq!(statuses, [200; 6], "{test}");
         assert_ran_once(&fleet, &all);
@@ -62,25 +62,25 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_answer_without_length_is_whole_at_its_end_and_not_after_a_reset() {
-    let (fleet, _) = raw_fleet("unframed", RawAnswer::Unframed).await;
+    let (fleet, _) = raw_fleet("unframed", ProtocolFault::Unframed).await;
     assert_eq!(status(&fleet.nodes[0], &lettered("/post/1", 40)).await, 200);
 
-    let (fleet, _) = raw_fleet("unframed-reset", RawAnswer::UnframedReset).await;
+    let (fleet, _) = raw_fleet("unframed-reset", ProtocolFault::UnframedReset).await;
     let asked = lettered("/post/1", 40);
     assert_eq!(status(&fleet.nodes[0], &asked).await, 502);
-    assert_eq!(fleet.world.runs.of(&asked.attempt).count, 1);
+    assert_eq!(fleet.platform.runs.of(&asked.attempt).count, 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_body_whose_answer_came_early_is_still_sent_whole() {
-    let (mut fleet, arrivals) = raw_fleet("early", RawAnswer::Early).await;
+    let (mut fleet, arrivals) = raw_fleet("early", ProtocolFault::Early).await;
     // More than the buffers of a connection hold.
     let length = 12 << 20;
     fleet
-        .world
+        .platform
         .change_configuration(|c| c.max_body_bytes = length as u64);
     tokio::time::sleep(Duration::from_millis(400)).await;
-    let all: Vec<Asked> = (0..4).map(|_| lettered("/post/1", length)).collect();
+    let all: Vec<CallerRequest> = (0..4).map(|_| lettered("/post/1", length)).collect();
     assert_eq!(ask_in_turn(&fleet, &all).await, [200; 4]);
     tokio::time::sleep(Duration::from_millis(500)).await;
     let arrived = arrivals.all();
@@ -94,10 +94,10 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn bytes_that_are_no_answer_are_not_passed_on() {
-    let (fleet, _) = raw_fleet("garbage", RawAnswer::Garbage).await;
+    let (fleet, _) = raw_fleet("garbage", ProtocolFault::Garbage).await;
     let asked = lettered("/post/1", 40);
     assert_eq!(status(&fleet.nodes[0], &asked).await, 502);
-    assert_eq!(fleet.world.runs.of(&asked.attempt).count, 1);
+    assert_eq!(fleet.platform.runs.of(&asked.attempt).count, 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -107,7 +107,7 @@
         ("orders-late", TargetFault::OrdersLate),
     ] {
         let fleet = fleet(test, 1).await;
-        for engine in &fleet.world.engines {
+        for engine in &fleet.platform.engines {
             engine.set_fault(fault);
         }
         // Needs two engines; no reservation is ever answered.
@@ -115,17 +115,17 @@
         let answer = ask(&fleet.nodes[0], &asked).await.unwrap();
         assert_eq!(answer.status, 503, "{test}");
         assert!(answer.has_retry_after);
-        assert_eq!(fleet.world.runs.of(&asked.attempt).count, 0);
+        assert_eq!(fleet.platform.runs.of(&asked.attempt).count, 0);
         // A reservation holds for three seconds and is not renewed.
         tokio::time::sleep(Duration::from_millis(4200)).await;
-        assert_eq!(fleet.world.reserved_tokens(), 0, "{test}");
+        assert_eq!(fleet.platform.reserved_tokens(), 0, "{test}");
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_slow_engine_is_asked_for_its_pace_and_avoided() {
     let fleet = fleet("slow", 1).await;
-    fleet.world.engines[0].set_fault(TargetFault::Slow);
+    fleet.platform.engines[0].set_fault(TargetFault::Slow);
     let mut late = 0;
     for _ in 0..12 {
         let asked = stream("/ask/1", 40_000, 2);
