--- a/crates/azuresaddle-standin/src/hosts/mod.rs
+++ b/crates/azuresaddle-standin/src/hosts/mod.rs
@@ -98,7 +98,7 @@
     }
 
     /// The list as it was a lag ago.
-    fn seen(&mut self, now: Instant) -> HostList {
+    fn visible_list(&mut self, now: Instant) -> HostList {
         while self.history.len() > 1 && self.history[1].0 + self.lag <= now {
             self.history.pop_front();
         }
@@ -132,7 +132,7 @@
             }
             _ => return Err(bad_request("unknown path")),
         }
-        let list = lock(&self.list.shared).seen(Instant::now());
+        let list = lock(&self.list.shared).visible_list(Instant::now());
         Ok(json(StatusCode::OK, &list))
     }
 }
--- a/crates/azuresaddle-standin/src/soak/callers.rs
+++ b/crates/azuresaddle-standin/src/soak/callers.rs
@@ -24,23 +24,23 @@
 const KEEP_ADDRESSES: Duration = Duration::from_secs(2);
 
 /// What all callers share.
-pub(super) struct Shared {
+pub(super) struct SoakState {
     pub(super) runs: Runs,
     pub(super) directories: Vec<SocketAddr>,
     pub(super) report: Mutex<SoakReport>,
     /// Requests that must not run, or not more than once, looked at once more at the end.
-    pub(super) settled: Mutex<Vec<(String, u32)>>,
+    pub(super) run_limits: Mutex<Vec<(String, u32)>>,
     /// When something unplanned happened last; answers may break off for a while after.
-    pub(super) disturbed: Mutex<Instant>,
+    pub(super) last_disruption: Mutex<Instant>,
     pub(super) attempts: AtomicU64,
     pub(super) stopped: CancellationToken,
     pub(super) signals: SignalLog,
 }
 
-impl Shared {
-    pub(super) fn broken(&self, what: String) {
+impl SoakState {
+    pub(super) fn report_violation(&self, what: String) {
         let mut report = self.report.lock().unwrap_or_else(PoisonError::into_inner);
-        report.broken.push(what);
+        report.violations.push(what);
     }
 
     pub(super) fn count(&self, end: &str) {
@@ -51,24 +51,24 @@
     }
 
     /// Notes that something unplanned happens.
-    pub(super) fn disturb(&self) {
+    pub(super) fn note_disruption(&self) {
         *self
-            .disturbed
+            .last_disruption
             .lock()
             .unwrap_or_else(PoisonError::into_inner) = Instant::now();
     }
 
-    fn was_disturbed_since(&self, at: Instant) -> bool {
+    fn was_disrupted_since(&self, at: Instant) -> bool {
         *self
-            .disturbed
+            .last_disruption
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             + ANSWER_TIMEOUT
             >= at
     }
 
-    fn settle(&self, attempt: &str, most: u32) {
-        self.settled
+    fn limit_runs(&self, attempt: &str, most: u32) {
+        self.run_limits
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .push((attempt.to_owned(), most));
@@ -76,7 +76,7 @@
 }
 
 /// Asks until it is stopped.
-pub(super) async fn run_caller(shared: Arc<Shared>, seed: u64) {
+pub(super) async fn run_caller(shared: Arc<SoakState>, seed: u64) {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut caller = Caller::default();
     let mut addresses: Vec<SocketAddr> = Vec::new();
@@ -90,12 +90,12 @@
             tokio::time::sleep(Duration::from_millis(100)).await;
             continue;
         };
-        let request = draw(&shared, &mut rng);
+        let request = random_request(&shared, &mut rng);
         let began = Instant::now();
         shared.signals.on_sent(node, &request);
         let result = caller.ask(node, &request).await;
         shared.signals.on_answer(node, &result);
-        judge(&shared, &request, began, &result);
+        check_answer(&shared, &request, began, &result);
         if result.is_err() {
             addresses.retain(|a| *a != node);
         }
@@ -104,7 +104,7 @@
 }
 
 pub(super) async fn resolve(
-    shared: &Shared,
+    shared: &SoakState,
     rng: &mut StdRng,
     known: Vec<SocketAddr>,
 ) -> Vec<SocketAddr> {
@@ -126,7 +126,7 @@
     known
 }
 
-pub(super) fn draw(shared: &Shared, rng: &mut StdRng) -> CallerRequest {
+pub(super) fn random_request(shared: &SoakState, rng: &mut StdRng) -> CallerRequest {
     let number = shared.attempts.fetch_add(1, Ordering::Relaxed);
     let (path, tokens) = match rng.random_range(0..10) {
         0..=3 => ("/note/1", None),
@@ -150,8 +150,8 @@
 }
 
 /// Checks one answer against what is promised.
-pub(super) fn judge(
-    shared: &Shared,
+pub(super) fn check_answer(
+    shared: &SoakState,
     request: &CallerRequest,
     began: Instant,
     result: &Result<crate::platform::Answer, CallerError>,
@@ -160,10 +160,10 @@
     let run = shared.runs.of(&request.attempt);
     let what = |text: &str| format!("{text}: {request:?} {result:?} {run:?}");
     if run.has_key || run.account.as_deref().is_some_and(|a| a != "advisers") {
-        shared.broken(what("key or account"));
+        shared.report_violation(what("key or account"));
     }
     if is_once {
-        shared.settle(&request.attempt, 1);
+        shared.limit_runs(&request.attempt, 1);
     }
     match result {
         Ok(answer) => {
@@ -173,21 +173,21 @@
                 StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS
             );
             if says_not_run && is_once {
-                shared.settle(&request.attempt, 0);
+                shared.limit_runs(&request.attempt, 0);
             }
             if says_not_run && !answer.has_retry_after {
-                shared.broken(what("no time to come back"));
+                shared.report_violation(what("no time to come back"));
             }
             if answer.status.is_client_error() {
-                shared.broken(what("refused though proper"));
+                shared.report_violation(what("refused though proper"));
             }
         }
-        Err(CallerError::Wrong(_)) => shared.broken(what("wrong answer")),
+        Err(CallerError::Wrong(_)) => shared.report_violation(what("wrong answer")),
         Err(e) => {
             shared.count(&e.to_string());
-            let may_break = shared.was_disturbed_since(began) || *e == CallerError::NoConnection;
+            let may_break = shared.was_disrupted_since(began) || *e == CallerError::NoConnection;
             if !may_break {
-                shared.broken(what("answer lost with nothing disturbed"));
+                shared.report_violation(what("answer lost with nothing disturbed"));
             }
         }
     }
--- a/crates/azuresaddle-standin/src/soak/crashers.rs
+++ b/crates/azuresaddle-standin/src/soak/crashers.rs
@@ -10,25 +10,25 @@
 use rand::{Rng, SeedableRng};
 use tokio::time::Instant;
 
-use super::callers::{ANSWER_TIMEOUT, Shared, draw, judge, resolve};
+use super::callers::{ANSWER_TIMEOUT, SoakState, check_answer, random_request, resolve};
 use super::fleet::Fleet;
 use crate::platform::{Caller, CrashingRequests};
 
 /// Targets after whose end a request is known for what it does.
-const CRASHES: usize = 3;
+const QUARANTINE_CRASHES: usize = 3;
 
 /// Time after that within which all nodes know.
 const PROPAGATION_TIME: Duration = Duration::from_secs(3);
 
 /// Most targets that it may reach later.
-const MOST_LATER: usize = 3;
+const MAX_LATER_SENDS: usize = 3;
 
 /// Longest time until the first attempt, so that requests begin in the midst of other faults.
-const MAX_START: Duration = Duration::from_secs(3);
+const MAX_START_DELAY: Duration = Duration::from_secs(3);
 
 /// Sends one request to random nodes until it is stopped.
 pub(super) async fn run_crasher(
-    shared: Arc<Shared>,
+    shared: Arc<SoakState>,
     crashing_requests: CrashingRequests,
     number: u64,
 ) {
@@ -36,37 +36,37 @@
     let mut rng = StdRng::seed_from_u64(seed);
     let body = Bytes::from(format!("{{\"crash\":{number}}}"));
     crashing_requests.add(body.clone());
-    tokio::time::sleep(MAX_START.mul_f64(rng.random_range(0.0..1.0))).await;
-    let first = draw(&shared, &mut rng);
+    tokio::time::sleep(MAX_START_DELAY.mul_f64(rng.random_range(0.0..1.0))).await;
+    let first = random_request(&shared, &mut rng);
     while !shared.stopped.is_cancelled() {
         let addresses = resolve(&shared, &mut rng, Vec::new()).await;
         let mut request = first.clone();
-        request.attempt = draw(&shared, &mut rng).attempt;
+        request.attempt = random_request(&shared, &mut rng).attempt;
         request.body = body.clone();
         if let Some(node) = addresses.choose(&mut rng) {
             let began = Instant::now();
-            shared.disturb();
+            shared.note_disruption();
             shared.signals.on_sent(*node, &request);
             let result = Caller::default().ask(*node, &request).await;
             shared.signals.on_answer(*node, &result);
-            judge(&shared, &request, began, &result);
+            check_answer(&shared, &request, began, &result);
         }
         tokio::time::sleep(ANSWER_TIMEOUT.mul_f64(rng.random_range(0.01..0.06))).await;
     }
 }
 
 /// Looks whether requests that end their targets were kept from them.
-pub(super) fn check_crashes(fleet: &Fleet, shared: &Shared) {
+pub(super) fn check_crashes(fleet: &Fleet, shared: &SoakState) {
     for times in fleet.platform.crashing_requests.arrival_times() {
-        let Some(third) = times.get(CRASHES - 1) else {
+        let Some(third) = times.get(QUARANTINE_CRASHES - 1) else {
             continue;
         };
         let later = times.iter().filter(|at| **at > *third + PROPAGATION_TIME);
         let later = later.count();
         shared.count(&format!("requests that reached {} targets", times.len()));
-        if later > MOST_LATER {
+        if later > MAX_LATER_SENDS {
             let after: Vec<Duration> = times.iter().map(|at| *at - times[0]).collect();
-            shared.broken(format!(
+            shared.report_violation(format!(
                 "{later} sends of a request that crashes targets: {after:?}"
             ));
         }
--- a/crates/azuresaddle-standin/src/soak/faults.rs
+++ b/crates/azuresaddle-standin/src/soak/faults.rs
@@ -7,14 +7,14 @@
 use rand::Rng;
 use rand::rngs::StdRng;
 
-use super::callers::Shared;
+use super::callers::SoakState;
 use super::fleet::Fleet;
 use super::proxy::ProxyMode;
-use super::signals::{SignalFault, Struck, begin_signals};
+use super::signals::{Affected, SignalFault, begin_signals};
 use crate::platform::{StoreFault, StoreRollback, TargetFault};
 
 /// Longest time of a fault.
-const MAX_FAULT: Duration = Duration::from_millis(1800);
+const MAX_FAULT_TIME: Duration = Duration::from_millis(1800);
 
 /// Longest time of a graceful stop: the grace of the settings and a little more.
 const STOP_TIMEOUT: Duration = Duration::from_millis(4600);
@@ -54,21 +54,21 @@
 const MAX_COPY_AGE: Duration = Duration::from_millis(5000);
 
 /// Longest time for which the store is away before it comes back from a copy.
-const MAX_AWAY: Duration = Duration::from_millis(1500);
+const MAX_OUTAGE: Duration = Duration::from_millis(1500);
 
 /// Kinds of faults that every soak draws from; the kept seeds mean these.
-const KINDS: u32 = 12;
+const COMMON_FAULT_KINDS: u32 = 12;
 
 /// Times that signals are drawn as often as another kind: their time does not hold up the next fault.
 const SIGNAL_WEIGHT: u32 = 6;
 
 /// Draws a fault.
-fn draw(rng: &mut StdRng, fleet: &Fleet, options: FaultOptions) -> Fault {
+fn random_fault(rng: &mut StdRng, fleet: &Fleet, options: FaultOptions) -> Fault {
     let node = rng.random_range(0..fleet.nodes.len());
     let target = rng.random_range(0..fleet.target_proxies.len());
     let cuts = [
         ProxyMode::Silent,
-        ProxyMode::SilentBack,
+        ProxyMode::SilentAnswers,
         ProxyMode::Reset,
         ProxyMode::Delay(Duration::from_millis(150)),
     ];
@@ -76,7 +76,7 @@
     let restarts = u32::from(options.has_restarts);
     let returns = u32::from(options.has_store_rollbacks);
     let signals = u32::from(options.has_signals) * SIGNAL_WEIGHT;
-    match rng.random_range(0..KINDS + restarts + returns + signals) {
+    match rng.random_range(0..COMMON_FAULT_KINDS + restarts + returns + signals) {
         0 => Fault::Kill(node),
         1 | 2 => Fault::Stop(node),
         3 => Fault::Freeze(node),
@@ -97,14 +97,16 @@
         ),
         11 => Fault::Configuration,
         12 if options.has_restarts => Fault::RestartTarget(target),
-        n if n >= KINDS + restarts + returns => Fault::Signals(target, SignalFault::draw(rng)),
+        n if n >= COMMON_FAULT_KINDS + restarts + returns => {
+            Fault::Signals(target, SignalFault::random(rng))
+        }
         _ => random_store_rollback(rng),
     }
 }
 
 fn random_store_rollback(rng: &mut StdRng) -> Fault {
     let how = StoreRollback {
-        outage: MAX_AWAY.mul_f64(rng.random_range(0.0..1.0)),
+        outage: MAX_OUTAGE.mul_f64(rng.random_range(0.0..1.0)),
         copy_age: MAX_COPY_AGE.mul_f64(rng.random_range(0.0..1.0)),
         seed: rng.random(),
     };
@@ -112,29 +114,29 @@
 }
 
 /// Strikes once, and waits until the fault is over.
-pub(super) async fn strike(
+pub(super) async fn inject_fault(
     fleet: &mut Fleet,
-    shared: &Shared,
+    shared: &SoakState,
     rng: &mut StdRng,
     options: FaultOptions,
 ) {
-    let fault = draw(rng, fleet, options);
-    let length = MAX_FAULT.mul_f64(rng.random_range(0.3..1.0));
-    note(shared, fault, length);
-    note_struck(fleet, shared, fault);
+    let fault = random_fault(rng, fleet, options);
+    let length = MAX_FAULT_TIME.mul_f64(rng.random_range(0.3..1.0));
+    record_fault(shared, fault, length);
+    record_affected(fleet, shared, fault);
     match fault {
         Fault::Kill(n) => {
             fleet.nodes[n].signal(Signal::SIGKILL);
             tokio::time::sleep(length / 2).await;
-            restart(fleet, shared, n).await;
+            restart_node(fleet, shared, n).await;
         }
         Fault::Stop(n) => {
             fleet.nodes[n].signal(Signal::SIGTERM);
-            if !fleet.nodes[n].until_ended(STOP_TIMEOUT).await {
-                shared.broken(format!("node {n} did not end within its grace"));
+            if !fleet.nodes[n].wait_until_ended(STOP_TIMEOUT).await {
+                shared.report_violation(format!("node {n} did not end within its grace"));
                 fleet.nodes[n].signal(Signal::SIGKILL);
             }
-            restart(fleet, shared, n).await;
+            restart_node(fleet, shared, n).await;
         }
         Fault::Freeze(n) => {
             fleet.nodes[n].signal(Signal::SIGSTOP);
@@ -177,39 +179,39 @@
         }
         Fault::RestartTarget(n) => {
             if let Err(e) = fleet.restart_target(n).await {
-                shared.broken(format!("target {n} did not start again: {e}"));
+                shared.report_violation(format!("target {n} did not start again: {e}"));
             }
         }
     }
-    note_struck(fleet, shared, fault);
-    if is_unplanned(fault) {
-        shared.disturb();
+    record_affected(fleet, shared, fault);
+    if may_lose_answers(fault) {
+        shared.note_disruption();
     }
 }
 
 /// Remembers what excuses a node from following signals.
-fn note_struck(fleet: &Fleet, shared: &Shared, fault: Fault) {
+fn record_affected(fleet: &Fleet, shared: &SoakState, fault: Fault) {
     match fault {
         Fault::Kill(n) | Fault::Stop(n) | Fault::Freeze(n) => {
             shared
                 .signals
-                .on_struck(Struck::Node(fleet.nodes[n].callers()));
+                .on_affected(Affected::Node(fleet.nodes[n].callers_addr()));
         }
-        Fault::TargetCut(n, _) => shared.signals.on_struck(Struck::Target(n)),
+        Fault::TargetCut(n, _) => shared.signals.on_affected(Affected::Target(n)),
         _ => {}
     }
 }
 
-fn note(shared: &Shared, fault: Fault, length: Duration) {
-    if is_unplanned(fault) {
-        shared.disturb();
+fn record_fault(shared: &SoakState, fault: Fault, length: Duration) {
+    if may_lose_answers(fault) {
+        shared.note_disruption();
     }
     let mut report = shared.report.lock().unwrap_or_else(PoisonError::into_inner);
     report.faults.push(format!("{fault:?} for {length:?}"));
 }
 
 /// Whether answers may be lost by it.
-fn is_unplanned(fault: Fault) -> bool {
+fn may_lose_answers(fault: Fault) -> bool {
     !matches!(
         fault,
         Fault::Stop(_)
@@ -222,12 +224,12 @@
     )
 }
 
-async fn restart(fleet: &mut Fleet, shared: &Shared, n: usize) {
+async fn restart_node(fleet: &mut Fleet, shared: &SoakState, n: usize) {
     if let Err(e) = fleet.nodes[n].start() {
-        shared.broken(format!("node {n} did not start: {e}"));
+        shared.report_violation(format!("node {n} did not start: {e}"));
         return;
     }
-    if let Err(e) = fleet.nodes[n].until_ready().await {
-        shared.broken(e.to_string());
+    if let Err(e) = fleet.nodes[n].wait_until_ready().await {
+        shared.report_violation(e.to_string());
     }
 }
--- a/crates/azuresaddle-standin/src/soak/fleet.rs
+++ b/crates/azuresaddle-standin/src/soak/fleet.rs
@@ -14,12 +14,12 @@
 const FIRST_PORT: u16 = 20_000;
 
 /// Ports of a fleet.
-const PORTS: u16 = 10;
+const PORTS_PER_FLEET: u16 = 10;
 
 /// Ports among which processes spread, so that test processes beside each other don't meet.
-const SPREAD: u16 = 30_000;
+const PORT_RANGE: u16 = 30_000;
 
-static FLEETS: AtomicU16 = AtomicU16::new(0);
+static FLEET_COUNT: AtomicU16 = AtomicU16::new(0);
 
 /// Sizes of a fleet.
 #[derive(Clone, Copy, Debug)]
@@ -92,7 +92,7 @@
             store_proxies.push(proxy);
         }
         for node in &nodes {
-            node.until_ready().await?;
+            node.wait_until_ready().await?;
         }
         Ok(Self {
             platform,
@@ -118,7 +118,7 @@
 
 /// First of ten ports that no other fleet of this process uses.
 pub(crate) fn next_port() -> u16 {
-    let own = (std::process::id() as u16).wrapping_mul(7) % (SPREAD / PORTS);
-    let fleet = FLEETS.fetch_add(1, Ordering::Relaxed);
-    FIRST_PORT + (own.wrapping_add(fleet) % (SPREAD / PORTS)) * PORTS
+    let own = (std::process::id() as u16).wrapping_mul(7) % (PORT_RANGE / PORTS_PER_FLEET);
+    let fleet = FLEET_COUNT.fetch_add(1, Ordering::Relaxed);
+    FIRST_PORT + (own.wrapping_add(fleet) % (PORT_RANGE / PORTS_PER_FLEET)) * PORTS_PER_FLEET
 }
--- a/crates/azuresaddle-standin/src/soak/process.rs
+++ b/crates/azuresaddle-standin/src/soak/process.rs
@@ -17,7 +17,7 @@
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Time between two looks.
-const POLL: Duration = Duration::from_millis(30);
+const POLL_INTERVAL: Duration = Duration::from_millis(30);
 
 /// A node process; killed when dropped.
 pub struct NodeProcess {
@@ -81,12 +81,12 @@
     }
 
     /// Where callers connect.
-    pub fn callers(&self) -> SocketAddr {
+    pub fn callers_addr(&self) -> SocketAddr {
         SocketAddr::from((self.ip, self.port + 1))
     }
 
     /// Where callers ask for addresses.
-    pub fn directory(&self) -> SocketAddr {
+    pub fn directory_addr(&self) -> SocketAddr {
         SocketAddr::from((self.ip, self.port + 3))
     }
 
@@ -110,13 +110,13 @@
     ///
     /// # Errors
     /// Where it does not in time.
-    pub async fn until_ready(&self) -> Result<()> {
+    pub async fn wait_until_ready(&self) -> Result<()> {
         let until = Instant::now() + READY_TIMEOUT;
         while !self.is_ready().await {
             if Instant::now() >= until {
                 bail!("{} is not ready", self.name);
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         Ok(())
     }
@@ -140,13 +140,13 @@
     }
 
     /// Waits until the process has ended; false where it has not in time.
-    pub async fn until_ended(&mut self, timeout: Duration) -> bool {
+    pub async fn wait_until_ended(&mut self, timeout: Duration) -> bool {
         let until = Instant::now() + timeout;
         while self.is_running() {
             if Instant::now() >= until {
                 return false;
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         true
     }
--- a/crates/azuresaddle-standin/src/soak/proxy.rs
+++ b/crates/azuresaddle-standin/src/soak/proxy.rs
@@ -9,14 +9,14 @@
 use tokio::sync::watch;
 
 /// Bytes that are passed on at a time.
-const CHUNK: usize = 16 << 10;
+const CHUNK_BYTES: usize = 16 << 10;
 
 /// Time between two looks whether something listens upstream again.
 const UPSTREAM_POLL: Duration = Duration::from_millis(20);
 
 /// Time for which a proxy whose upstream has ended takes no connection while the ones that it has still stand, as
 /// the port of a process that ends is closed when its connections break.
-const CLOSED_BEFORE: Duration = Duration::from_millis(10);
+const CLOSE_DELAY: Duration = Duration::from_millis(10);
 
 /// What the proxy does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -28,7 +28,7 @@
     /// Passes nothing on, either way.
     Silent,
     /// Passes requests on, but no answers.
-    SilentBack,
+    SilentAnswers,
     /// Breaks all connections and takes no new ones.
     Reset,
 }
@@ -102,7 +102,7 @@
     relay(&mut stream, upstream, modes).await;
     if TcpStream::connect(upstream).await.is_err() {
         is_open.send_replace(false);
-        tokio::time::sleep(CLOSED_BEFORE).await;
+        tokio::time::sleep(CLOSE_DELAY).await;
     }
 }
 
@@ -132,15 +132,16 @@
     mut from: ReadHalf<'_>,
     mut to: WriteHalf<'_>,
     mut modes: watch::Receiver<ProxyMode>,
-    is_back: bool,
+    is_answer: bool,
 ) {
-    let mut buf = vec![0; CHUNK];
+    let mut buf = vec![0; CHUNK_BYTES];
     while let Ok(len) = from.read(&mut buf).await {
         if len == 0 {
             break;
         }
         let mode = *modes.borrow_and_update();
-        let is_silent = mode == ProxyMode::Silent || (mode == ProxyMode::SilentBack && is_back);
+        let is_silent =
+            mode == ProxyMode::Silent || (mode == ProxyMode::SilentAnswers && is_answer);
         if is_silent {
             // A connection that lost bytes stays silent for good.
             return std::future::pending().await;
--- a/crates/azuresaddle-standin/src/soak/report.rs
+++ b/crates/azuresaddle-standin/src/soak/report.rs
@@ -13,7 +13,7 @@
     /// Faults in their order.
     pub faults: Vec<String>,
     /// Broken promises.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
 }
 
 impl SoakReport {
@@ -23,8 +23,8 @@
     }
 
     /// Whether every promise was kept.
-    pub fn is_good(&self) -> bool {
-        self.broken.is_empty()
+    pub fn passed(&self) -> bool {
+        self.violations.is_empty()
     }
 }
 
@@ -34,13 +34,13 @@
         for (end, count) in &self.ends {
             writeln!(f, "  {count:>6} {end}")?;
         }
-        if !self.is_good() {
+        if !self.passed() {
             for fault in &self.faults {
                 writeln!(f, "  fault {fault}")?;
             }
         }
-        for broken in &self.broken {
-            writeln!(f, "  BROKEN {broken}")?;
+        for violation in &self.violations {
+            writeln!(f, "  BROKEN {violation}")?;
         }
         Ok(())
     }
--- a/crates/azuresaddle-standin/src/soak/run.rs
+++ b/crates/azuresaddle-standin/src/soak/run.rs
@@ -11,9 +11,9 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-use super::callers::{Shared, run_caller};
+use super::callers::{SoakState, run_caller};
 use super::crashers::{check_crashes, run_crasher};
-use super::faults::{FaultOptions, strike};
+use super::faults::{FaultOptions, inject_fault};
 use super::fleet::{Fleet, FleetOptions};
 use super::report::SoakReport;
 use super::signal_checks::check_signals;
@@ -21,10 +21,10 @@
 use crate::platform::{Caller, CallerRequest};
 
 /// Time for the last answers and the release of memory after the callers stopped.
-const SETTLE: Duration = Duration::from_millis(4500);
+const SETTLE_TIME: Duration = Duration::from_millis(4500);
 
 /// Time in which a configuration must be in force on every node.
-const APPLY: Duration = Duration::from_millis(2000);
+const APPLY_TIME: Duration = Duration::from_millis(2000);
 
 /// How a soak runs.
 #[derive(Clone, Debug)]
@@ -54,15 +54,15 @@
 pub async fn run_soak(options: &SoakOptions) -> Result<SoakReport> {
     std::fs::create_dir_all(&options.dir)?;
     let mut fleet = Fleet::open(&options.program, &options.dir, options.fleet).await?;
-    let shared = Arc::new(Shared {
+    let shared = Arc::new(SoakState {
         runs: fleet.platform.runs.clone(),
-        directories: fleet.nodes.iter().map(|n| n.directory()).collect(),
+        directories: fleet.nodes.iter().map(|n| n.directory_addr()).collect(),
         report: Mutex::new(SoakReport {
             seed: options.seed,
             ..SoakReport::default()
         }),
-        settled: Mutex::default(),
-        disturbed: Mutex::new(Instant::now()),
+        run_limits: Mutex::default(),
+        last_disruption: Mutex::new(Instant::now()),
         attempts: AtomicU64::new(options.seed << 32),
         stopped: CancellationToken::new(),
         signals: SignalLog::default(),
@@ -78,16 +78,16 @@
     let mut rng = StdRng::seed_from_u64(options.seed);
     let end = Instant::now() + options.length;
     while Instant::now() < end {
-        strike(&mut fleet, &shared, &mut rng, options.faults).await;
+        inject_fault(&mut fleet, &shared, &mut rng, options.faults).await;
         end_signals(&mut fleet, &shared).await;
         if let Err(e) = fleet.platform.restart_ended().await {
-            shared.broken(format!("a target did not start again: {e}"));
+            shared.report_violation(format!("a target did not start again: {e}"));
         }
     }
     shared.stopped.cancel();
     for caller in callers {
         if let Err(e) = caller.await {
-            shared.broken(format!("a caller failed: {e}"));
+            shared.report_violation(format!("a caller failed: {e}"));
         }
     }
     check_end(&mut fleet, &shared).await;
@@ -98,12 +98,12 @@
 }
 
 /// Looks whether a change is in force everywhere, every node serves, and nothing is left over.
-async fn check_end(fleet: &mut Fleet, shared: &Shared) {
-    tokio::time::sleep(SETTLE).await;
+async fn check_end(fleet: &mut Fleet, shared: &SoakState) {
+    tokio::time::sleep(SETTLE_TIME).await;
     fleet
         .platform
         .change_configuration(|c| c.accounts[0].keys.retain(|k| k != "key-2"));
-    tokio::time::sleep(APPLY).await;
+    tokio::time::sleep(APPLY_TIME).await;
     for (n, node) in fleet.nodes.iter().enumerate() {
         let caller_request = |key: &str, path: &str, tokens| CallerRequest {
             attempt: format!(
@@ -124,25 +124,25 @@
             ("key-1", "/ask/1", Some((1000, 46)), 200),
         ] {
             let request = caller_request(key, path, tokens);
-            let answer = caller.ask(node.callers(), &request).await;
+            let answer = caller.ask(node.callers_addr(), &request).await;
             if answer.as_ref().map(|a| a.status.as_u16()) != Ok(status) {
-                shared.broken(format!(
+                shared.report_violation(format!(
                     "node {n}, {key}, {path}: {answer:?}, expected {status}"
                 ));
             }
         }
     }
     if fleet.platform.reserved_tokens() > 0 {
-        shared.broken("memory is still reserved".to_owned());
+        shared.report_violation("memory is still reserved".to_owned());
     }
-    let settled = shared
-        .settled
+    let run_limits = shared
+        .run_limits
         .lock()
         .unwrap_or_else(PoisonError::into_inner);
-    for (attempt, most) in settled.iter() {
+    for (attempt, most) in run_limits.iter() {
         let run = shared.runs.of(attempt);
         if run.count > *most {
-            shared.broken(format!(
+            shared.report_violation(format!(
                 "{attempt} ran {} times, promised {most}",
                 run.count
             ));
--- a/crates/azuresaddle-standin/src/soak/signal_checks.rs
+++ b/crates/azuresaddle-standin/src/soak/signal_checks.rs
@@ -5,108 +5,129 @@
 
 use tokio::time::Instant;
 
-use super::callers::Shared;
-use super::signals::{Log, SignalFault, Signalled, Struck, Told};
+use super::callers::SoakState;
+use super::signals::{Affected, Announcement, RelayedSignals, SignalFault, SignalRecords};
+use crate::limit_check::{SETTLE, allowed, most_in_a_span};
 use crate::platform::ArrivedRequest;
 use crate::rate_limit_check::{ADJUSTMENT_TIME, max_requests_in_window, peak_requests_in_window};
 
 /// Time after which a node that has relayed a signal follows it.
-const HEARD: Duration = Duration::from_millis(500);
+const RELAY_DELAY: Duration = Duration::from_millis(500);
 
 /// Time after which a draining target gets no more requests.
-const DRAIN: Duration = Duration::from_secs(2);
+const DRAIN_GRACE: Duration = Duration::from_secs(2);
 
 /// Most requests of a node that may reach a target during its back-off.
-const MOST_IN_PAUSE: usize = 2;
+const MAX_IN_BACK_OFF: usize = 2;
 
 /// Time after a fault for which it still excuses a request.
-const AFTERMATH: Duration = Duration::from_secs(3);
+const FAULT_GRACE: Duration = Duration::from_secs(3);
 
 /// Checks whether targets got more requests than their signals allow.
-pub(super) fn check_signals(shared: &Shared) {
+pub(super) fn check_signals(shared: &SoakState) {
     let log = shared.signals.lock();
-    for signalled in &log.signalled {
-        let arrivals = signalled.target.arrivals();
-        let broken = match signalled.fault {
-            SignalFault::Limit(rate) => check_limit(&log, signalled, &arrivals, rate),
-            SignalFault::Drains => check_draining(&log, signalled, &arrivals),
-            SignalFault::BacksOff(_) => check_pause(&log, signalled, &arrivals),
+    for announcement in &log.announcements {
+        let arrivals = announcement.target.arrivals();
+        let violation = match announcement.fault {
+            SignalFault::Limit(rate) => check_limit(&log, announcement, &arrivals, rate),
+            SignalFault::Drains => check_draining(&log, announcement, &arrivals),
+            SignalFault::BacksOff(_) => check_back_off(&log, announcement, &arrivals),
         };
-        shared.count(match signalled.fault {
+        shared.count(match announcement.fault {
             SignalFault::Limit(_) => "targets that limited their rate",
             SignalFault::Drains => "targets that drained",
             SignalFault::BacksOff(_) => "targets that asked to back off",
         });
-        if let Some(broken) = broken {
-            let id = signalled.target.id();
-            shared.broken(format!("{broken} at {id}, which {:?}", signalled.fault));
+        if let Some(violation) = violation {
+            let id = announcement.target.id();
+            shared.report_violation(format!(
+                "{violation} at {id}, which {:?}",
+                announcement.fault
+            ));
         }
     }
 }
 
 fn check_limit(
-    log: &Log,
-    signalled: &Signalled,
+    log: &SignalRecords,
+    announcement: &Announcement,
     arrivals: &[ArrivedRequest],
     rate: f64,
 ) -> Option<String> {
-    let end = signalled.ended.unwrap_or_else(Instant::now);
+    let end = announcement.ended.unwrap_or_else(Instant::now);
     let counted: Vec<Duration> = arrivals
         .iter()
-        .filter(|a| (signalled.began + ADJUSTMENT_TIME..end).contains(&a.at))
+        .filter(|a| (announcement.began + SETTLE..end).contains(&a.at))
         .filter(|a| {
-            let told = first_told(log, signalled, a, |t| t.signals.rate_limit.is_some());
-            told.is_some_and(|at| at + HEARD <= a.at && !is_excused(log, signalled, a, at))
+            let relayed = first_relayed(log, announcement, a, |t| t.signals.rate_limit.is_some());
+            relayed
+                .is_some_and(|at| at + RELAY_DELAY <= a.at && !is_excused(log, announcement, a, at))
         })
-        .map(|a| a.at - signalled.began)
+        .map(|a| a.at - announcement.began)
         .collect();
     let most = peak_requests_in_window(&counted);
     let allowed = max_requests_in_window(rate);
     (most > allowed).then(|| format!("{most} requests in 4 s of {allowed}"))
 }
 
-fn check_draining(log: &Log, signalled: &Signalled, arrivals: &[ArrivedRequest]) -> Option<String> {
+fn check_draining(
+    log: &SignalRecords,
+    announcement: &Announcement,
+    arrivals: &[ArrivedRequest],
+) -> Option<String> {
     let late = arrivals.iter().filter(|a| {
-        let told = first_told(log, signalled, a, |t| t.signals.is_draining);
-        told.is_some_and(|at| at + DRAIN < a.at && !is_excused(log, signalled, a, at))
+        let relayed = first_relayed(log, announcement, a, |t| t.signals.is_draining);
+        relayed.is_some_and(|at| at + DRAIN_GRACE < a.at && !is_excused(log, announcement, a, at))
     });
     let late = late.count();
     (late > 0).then(|| format!("{late} requests after the drain time"))
 }
 
-fn check_pause(log: &Log, signalled: &Signalled, arrivals: &[ArrivedRequest]) -> Option<String> {
-    let most = arrivals.iter().filter_map(|turned_away| {
-        let node = log.nodes.get(&turned_away.attempt)?;
-        let pause = turned_away.at + HEARD..turned_away.at + turned_away.back_off?;
-        let in_pause = arrivals.iter().filter(|a| {
-            pause.contains(&a.at)
+fn check_back_off(
+    log: &SignalRecords,
+    announcement: &Announcement,
+    arrivals: &[ArrivedRequest],
+) -> Option<String> {
+    let most = arrivals.iter().filter_map(|rejected| {
+        let node = log.nodes.get(&rejected.attempt)?;
+        let back_off = rejected.at + RELAY_DELAY..rejected.at + rejected.back_off?;
+        let in_back_off = arrivals.iter().filter(|a| {
+            back_off.contains(&a.at)
                 && log.nodes.get(&a.attempt) == Some(node)
-                && !is_excused(log, signalled, a, turned_away.at)
+                && !is_excused(log, announcement, a, rejected.at)
         });
-        Some(in_pause.count())
+        Some(in_back_off.count())
     });
     let most = most.max().unwrap_or(0);
-    (most > MOST_IN_PAUSE).then(|| format!("{most} requests of one node in a pause"))
+    (most > MAX_IN_BACK_OFF).then(|| format!("{most} requests of one node in a pause"))
 }
 
 /// When the node that sent a request had first relayed a signal, while the target announced it.
-fn first_told(
-    log: &Log,
-    signalled: &Signalled,
+fn first_relayed(
+    log: &SignalRecords,
+    announcement: &Announcement,
     arrived: &ArrivedRequest,
-    is_it: impl Fn(&Told) -> bool,
+    matches: impl Fn(&RelayedSignals) -> bool,
 ) -> Option<Instant> {
     let node = log.nodes.get(&arrived.attempt)?;
-    let of_node = log.told.iter().filter(|t| t.node == *node && is_it(t));
-    let told = of_node.filter(|t| t.target == signalled.target.id() && t.at >= signalled.began);
-    told.map(|t| t.at).min()
+    let of_node = log.relayed.iter().filter(|t| t.node == *node && matches(t));
+    let relayed =
+        of_node.filter(|t| t.target == announcement.target.id() && t.at >= announcement.began);
+    relayed.map(|t| t.at).min()
 }
 
 /// Whether the node was stopped or frozen since it relayed the signal, or its link to the target was disturbed.
-fn is_excused(log: &Log, signalled: &Signalled, arrived: &ArrivedRequest, told: Instant) -> bool {
+fn is_excused(
+    log: &SignalRecords,
+    announcement: &Announcement,
+    arrived: &ArrivedRequest,
+    relayed: Instant,
+) -> bool {
     let node: Option<SocketAddr> = log.nodes.get(&arrived.attempt).copied();
-    log.struck.iter().any(|(at, what)| match what {
-        Struck::Node(struck) => node == Some(*struck) && (told..arrived.at).contains(at),
-        Struck::Target(n) => *n == signalled.number && (*at..*at + AFTERMATH).contains(&arrived.at),
+    log.affected.iter().any(|(at, what)| match what {
+        Affected::Node(affected) => node == Some(*affected) && (relayed..arrived.at).contains(at),
+        Affected::Target(n) => {
+            *n == announcement.number && (*at..*at + FAULT_GRACE).contains(&arrived.at)
+        }
     })
 }
--- a/crates/azuresaddle-standin/src/soak/signals.rs
+++ b/crates/azuresaddle-standin/src/soak/signals.rs
@@ -10,7 +10,7 @@
 use rand::rngs::StdRng;
 use tokio::time::Instant;
 
-use super::callers::Shared;
+use super::callers::SoakState;
 use super::fleet::Fleet;
 use crate::platform::{Answer, CallerError, CallerRequest, Signals, TargetHandle};
 
@@ -26,7 +26,7 @@
 }
 
 impl SignalFault {
-    pub(super) fn draw(rng: &mut StdRng) -> Self {
+    pub(super) fn random(rng: &mut StdRng) -> Self {
         match rng.random_range(0..4) {
             0 | 1 => Self::Limit(rng.random_range(0.5..4.0)),
             2 => Self::Drains,
@@ -55,7 +55,7 @@
 
 /// A target that announces a signal.
 #[derive(Clone)]
-pub(super) struct Signalled {
+pub(super) struct Announcement {
     /// Number of the target in the fleet.
     pub(super) number: usize,
     /// The start that announces it.
@@ -68,7 +68,7 @@
 
 /// An answer with signals that a node has relayed.
 #[derive(Clone, Debug)]
-pub(super) struct Told {
+pub(super) struct RelayedSignals {
     pub(super) at: Instant,
     pub(super) node: SocketAddr,
     pub(super) target: String,
@@ -77,22 +77,22 @@
 
 /// What was struck by a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Struck {
+pub(super) enum Affected {
     Node(SocketAddr),
     Target(usize),
 }
 
 /// All that the checks at the end need.
 #[derive(Default)]
-pub(super) struct SignalLog(Mutex<Log>);
+pub(super) struct SignalLog(Mutex<SignalRecords>);
 
 #[derive(Default)]
-pub(super) struct Log {
+pub(super) struct SignalRecords {
     /// The node that each attempt was sent to.
     pub(super) nodes: HashMap<String, SocketAddr>,
-    pub(super) told: Vec<Told>,
-    pub(super) struck: Vec<(Instant, Struck)>,
-    pub(super) signalled: Vec<Signalled>,
+    pub(super) relayed: Vec<RelayedSignals>,
+    pub(super) affected: Vec<(Instant, Affected)>,
+    pub(super) announcements: Vec<Announcement>,
 }
 
 impl SignalLog {
@@ -112,7 +112,7 @@
         let Some(target) = target.filter(|_| answer.signals != TargetSignals::default()) else {
             return;
         };
-        self.lock().told.push(Told {
+        self.lock().relayed.push(RelayedSignals {
             at: Instant::now(),
             node,
             target: target.to_owned(),
@@ -120,28 +120,28 @@
         });
     }
 
-    pub(super) fn on_struck(&self, what: Struck) {
-        self.lock().struck.push((Instant::now(), what));
+    pub(super) fn on_affected(&self, what: Affected) {
+        self.lock().affected.push((Instant::now(), what));
     }
 
-    pub(super) fn lock(&self) -> MutexGuard<'_, Log> {
+    pub(super) fn lock(&self) -> MutexGuard<'_, SignalRecords> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 /// Makes a target announce a signal, unless it announces one already.
-pub(super) fn begin_signals(fleet: &Fleet, shared: &Shared, number: usize, fault: SignalFault) {
+pub(super) fn begin_signals(fleet: &Fleet, shared: &SoakState, number: usize, fault: SignalFault) {
     let target = target_of(fleet, number);
     let mut log = shared.signals.lock();
-    let is_busy = log
-        .signalled
+    let is_announcing = log
+        .announcements
         .iter()
         .any(|s| s.number == number && s.ended.is_none());
-    if is_busy {
+    if is_announcing {
         return;
     }
     target.set_signals(fault.signals());
-    log.signalled.push(Signalled {
+    log.announcements.push(Announcement {
         number,
         target,
         fault,
@@ -151,25 +151,25 @@
 }
 
 /// Ends signals whose time is over; draining targets start again.
-pub(super) async fn end_signals(fleet: &mut Fleet, shared: &Shared) {
+pub(super) async fn end_signals(fleet: &mut Fleet, shared: &SoakState) {
     let now = Instant::now();
     let mut drained = Vec::new();
-    for signalled in &mut shared.signals.lock().signalled {
-        let is_over = signalled.began + signalled.fault.length() <= now;
-        let has_ended = signalled.target.has_ended();
-        if signalled.ended.is_some() || !(is_over || has_ended) {
+    for announcement in &mut shared.signals.lock().announcements {
+        let is_over = announcement.began + announcement.fault.length() <= now;
+        let has_ended = announcement.target.has_ended();
+        if announcement.ended.is_some() || !(is_over || has_ended) {
             continue;
         }
-        signalled.ended = Some(now);
-        if signalled.fault == SignalFault::Drains && !has_ended {
-            drained.push(signalled.number);
+        announcement.ended = Some(now);
+        if announcement.fault == SignalFault::Drains && !has_ended {
+            drained.push(announcement.number);
         }
-        signalled.target.set_signals(Signals::default());
+        announcement.target.set_signals(Signals::default());
     }
     for number in drained {
-        shared.disturb();
+        shared.note_disruption();
         if let Err(e) = fleet.restart_target(number).await {
-            shared.broken(format!("target {number} did not start again: {e}"));
+            shared.report_violation(format!("target {number} did not start again: {e}"));
         }
     }
 }
--- a/tests/testsuite/platform/configuration.rs
+++ b/tests/testsuite/platform/configuration.rs
@@ -67,9 +67,13 @@
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
     fleet.nodes[1].signal(nix::sys::signal::Signal::SIGKILL);
-    assert!(fleet.nodes[1].until_ended(Duration::from_secs(2)).await);
+    assert!(
+        fleet.nodes[1]
+            .wait_until_ended(Duration::from_secs(2))
+            .await
+    );
     fleet.nodes[1].start().unwrap();
-    fleet.nodes[1].until_ready().await.unwrap();
+    fleet.nodes[1].wait_until_ready().await.unwrap();
     assert_eq!(status(&fleet.nodes[1], &plain("/post/1")).await, 200);
 }
 
--- a/tests/testsuite/platform/drains.rs
+++ b/tests/testsuite/platform/drains.rs
@@ -27,7 +27,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_graceful_stop_cuts_no_answer() {
     let mut fleet = fleet("stop", 2).await;
-    let node = fleet.nodes[0].callers();
+    let node = fleet.nodes[0].callers_addr();
     let answers: Vec<_> = (0..12)
         .map(|n| {
             let asked = stream("/ask-once/1", 2000, 10 + n);
@@ -46,7 +46,11 @@
     for answer in answers {
         assert_eq!(answer.await.unwrap().unwrap().status, 200);
     }
-    assert!(fleet.nodes[0].until_ended(Duration::from_secs(5)).await);
+    assert!(
+        fleet.nodes[0]
+            .wait_until_ended(Duration::from_secs(5))
+            .await
+    );
     assert!(
         stopped_at.elapsed() < Duration::from_secs(4),
         "{:?}",
@@ -61,7 +65,7 @@
     let owner = (0..3)
         .find(|n| fleet.nodes[*n].log_text().contains("owner now"))
         .unwrap_or(0);
-    let survivor = fleet.nodes[(owner + 1) % 3].callers();
+    let survivor = fleet.nodes[(owner + 1) % 3].callers_addr();
     let answers = tokio::spawn(async move {
         let mut slowest = Duration::ZERO;
         let mut caller = Caller::default();
--- a/tests/testsuite/platform/faults.rs
+++ b/tests/testsuite/platform/faults.rs
@@ -12,7 +12,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_target_that_starts_again_under_its_name_serves_at_once() {
     let mut fleet = fleet("again-born", 1).await;
-    let node = fleet.nodes[0].callers();
+    let node = fleet.nodes[0].callers_addr();
     for n in 0..2 {
         fleet.platform.plain[n].set_fault(TargetFault::AnswersLost);
     }
@@ -69,7 +69,7 @@
     fleet.nodes[0].signal(Signal::SIGKILL);
     tokio::time::sleep(Duration::from_millis(100)).await;
     fleet.nodes[0].start().unwrap();
-    fleet.nodes[0].until_ready().await.unwrap();
+    fleet.nodes[0].wait_until_ready().await.unwrap();
     tokio::time::sleep(Duration::from_millis(300)).await;
     assert_eq!(status(&fleet.nodes[0], &plain("/post/1")).await, 200);
 }
--- a/tests/testsuite/platform/input.rs
+++ b/tests/testsuite/platform/input.rs
@@ -24,7 +24,7 @@
 async fn each_kind_of_bad_input_has_its_answer() {
     let fleet = fleet("input", 1).await;
     let node = &fleet.nodes[0];
-    let addr = node.callers();
+    let addr = node.callers_addr();
     let long = format!("{HEAD}x-long: {}\r\n\r\n", "x".repeat(20_000));
     assert!(raw(addr, long.as_bytes()).await.contains("431"));
     let large = format!("{HEAD}azuresaddle-attempt-id: 1\r\ncontent-length: 99999999\r\n\r\n");
--- a/tests/testsuite/platform/repeats.rs
+++ b/tests/testsuite/platform/repeats.rs
@@ -128,7 +128,7 @@
             fleet.nodes[*n].start().unwrap();
         }
         for n in killed {
-            fleet.nodes[n].until_ready().await.unwrap();
+            fleet.nodes[n].wait_until_ready().await.unwrap();
             let asked = with_body(stream("/ask/1", 1500, 6), &body);
             assert_quarantined(&fleet, n, &asked).await;
             let asked = stream("/ask/1", 1500, 6);
@@ -158,7 +158,7 @@
     tokio::time::sleep(PAUSE).await;
     for n in 0..3 {
         fleet.nodes[n].start().unwrap();
-        fleet.nodes[n].until_ready().await.unwrap();
+        fleet.nodes[n].wait_until_ready().await.unwrap();
         let asked = with_body(stream("/ask/1", 1500, 6), &body);
         assert_quarantined(&fleet, n, &asked).await;
     }
@@ -189,7 +189,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn sound_requests_beside_it_are_served() {
     let mut fleet = large_fleet("crashing-beside").await;
-    let nodes: Vec<_> = fleet.nodes.iter().map(|n| n.callers()).collect();
+    let nodes: Vec<_> = fleet.nodes.iter().map(|n| n.callers_addr()).collect();
     let callers: Vec<_> = (0..12)
         .map(|n| {
             let node = nodes[n % nodes.len()];
--- a/tests/testsuite/platform/soak.rs
+++ b/tests/testsuite/platform/soak.rs
@@ -78,5 +78,5 @@
         crashers,
     };
     let report = run_soak(&options).await.unwrap();
-    assert!(report.is_good(), "{report}");
+    assert!(report.passed(), "{report}");
 }
--- a/tests/testsuite/platform/store_return.rs
+++ b/tests/testsuite/platform/store_return.rs
@@ -107,9 +107,13 @@
     fleet.platform.roll_back_store(back(3)).await;
     // It reads the copy, in which the target is ready.
     fleet.nodes[2].signal(Signal::SIGKILL);
-    assert!(fleet.nodes[2].until_ended(Duration::from_secs(2)).await);
+    assert!(
+        fleet.nodes[2]
+            .wait_until_ended(Duration::from_secs(2))
+            .await
+    );
     fleet.nodes[2].start().unwrap();
-    fleet.nodes[2].until_ready().await.unwrap();
+    fleet.nodes[2].wait_until_ready().await.unwrap();
     assert!(!reaches(&fleet, &gone, Duration::from_millis(1000)).await);
 }
 
@@ -148,9 +152,13 @@
     }
     fleet.platform.roll_back_store(back(6)).await;
     fleet.nodes[1].signal(Signal::SIGKILL);
-    assert!(fleet.nodes[1].until_ended(Duration::from_secs(2)).await);
+    assert!(
+        fleet.nodes[1]
+            .wait_until_ended(Duration::from_secs(2))
+            .await
+    );
     fleet.nodes[1].start().unwrap();
-    fleet.nodes[1].until_ready().await.unwrap();
+    fleet.nodes[1].wait_until_ready().await.unwrap();
     let until = Instant::now() + SETTLED;
     while Instant::now() < until {
         for node in &fleet.nodes {
--- a/tests/testsuite/platform/support.rs
+++ b/tests/testsuite/platform/support.rs
@@ -57,7 +57,7 @@
 
 /// Asks a node on a new connection.
 pub(super) async fn ask(node: &NodeProcess, asked: &CallerRequest) -> Result<Answer, CallerError> {
-    Caller::default().ask(node.callers(), asked).await
+    Caller::default().ask(node.callers_addr(), asked).await
 }
 
 /// Asks a node and returns the status of its answer.
--- a/tests/testsuite/platform/wire_faults.rs
+++ b/tests/testsuite/platform/wire_faults.rs
@@ -33,7 +33,10 @@
     let mut caller = Caller::default();
     let mut statuses = Vec::new();
     for asked in all {
-        let answer = caller.ask(fleet.nodes[0].callers(), asked).await.unwrap();
+        let answer = caller
+            .ask(fleet.nodes[0].callers_addr(), asked)
+            .await
+            .unwrap();
         statuses.push(answer.status.as_u16());
     }
     statuses
