--- a/crates/azuresaddle-standin/src/platform/body.rs
+++ b/crates/azuresaddle-standin/src/platform/body.rs
@@ -1,4 +1,4 @@
-//! Bodies that can break off.
+//! Response bodies that a fault can abort.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -8,16 +8,16 @@
 use thiserror::Error;
 use tokio::sync::mpsc;
 
-/// The server broke off.
+/// The server aborted the body.
 #[derive(Clone, Copy, Debug, Error)]
-#[error("broken off by a fault")]
+#[error("body aborted by an injected fault")]
 pub(super) struct BodyAborted;
 
-/// A body that is fed piece by piece; it breaks off unless it is ended by [`Chunk::End`].
+/// A body fed through a channel; it aborts with an error if the channel closes before [`Chunk::End`].
 #[derive(Debug)]
 pub(super) struct ChannelBody(pub(super) mpsc::UnboundedReceiver<Chunk>);
 
-/// A piece of a body.
+/// An item of a [`ChannelBody`].
 #[derive(Clone, Debug)]
 pub(super) enum Chunk {
     Data(Bytes),
@@ -25,12 +25,12 @@
 }
 
 impl ChannelBody {
-    /// A body that is there as a whole.
+    /// Returns a body whose content is complete.
     pub(super) fn whole(bytes: impl Into<Bytes>) -> Self {
         let (tx, rx) = mpsc::unbounded_channel();
         let bytes = bytes.into();
         if !bytes.is_empty() {
-            // The receiver is held here.
+            // Sending can't fail: this function holds the receiver.
             let _ = tx.send(Chunk::Data(bytes));
         }
         let _ = tx.send(Chunk::End);
--- a/crates/azuresaddle-standin/src/platform/caller.rs
+++ b/crates/azuresaddle-standin/src/platform/caller.rs
@@ -1,4 +1,4 @@
-//! A caller that keeps connections and checks what it gets.
+//! A caller that keeps its connection open and verifies the answers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,69 +17,69 @@
 use super::engine::event_text;
 use super::plain::plain_body;
 
-/// What a caller asks.
+/// A request of a caller.
 #[derive(Clone, Debug)]
 pub struct CallerRequest {
-    /// Identifies the attempt.
+    /// Id of the attempt.
     pub attempt: String,
     /// Path.
     pub path: String,
     /// Host of the route.
     pub host: String,
-    /// Key of the client account.
+    /// API key of the client account.
     pub key: String,
-    /// Prompt and answer tokens; `None` for a plain request.
+    /// Numbers of prompt and answer tokens; `None` for a plain request.
     pub tokens: Option<(u64, u64)>,
     /// Body of the request.
     pub body: Bytes,
-    /// Time that the caller waits.
+    /// Time for which the caller waits for the complete answer; also sent as the time left.
     pub timeout: Duration,
 }
 
-/// A final answer.
+/// A complete answer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Answer {
     /// Status.
     pub status: StatusCode,
-    /// Signature of the target, where there is one.
+    /// Signature of the target, if there is one.
     pub signature: Option<String>,
     /// Body.
     pub body: String,
-    /// Whether a time to come back was told.
+    /// Whether the answer has a `Retry-After` header.
     pub has_retry_after: bool,
-    /// Signals of the target.
+    /// Signals of the target that the node passed on.
     pub signals: TargetSignals,
 }
 
-/// There is no final answer, or a wrong one.
+/// A request failed without a complete answer, or with a wrong one.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum CallerError {
-    /// No connection was made.
+    /// No connection could be opened.
     #[error("no connection")]
     NoConnection,
     /// The connection ended before the answer was complete.
     #[error("the answer broke off")]
     BrokenOff,
-    /// No answer in the time given.
+    /// No complete answer before the timeout.
     #[error("no answer in time")]
     Timeout,
-    /// The answer is not the one to the request.
+    /// The answer does not belong to the request or is incomplete.
     #[error("wrong answer: {0}")]
     Wrong(String),
 }
 
-/// A caller with one connection, opened anew when it breaks.
+/// A caller with one connection, which it reopens when it breaks.
 #[derive(Default)]
 pub struct Caller {
     connection: Option<(SocketAddr, SendRequest<Full<Bytes>>)>,
 }
 
 impl Caller {
-    /// Sends a request to a node and checks the answer.
+    /// Sends a request to a node and verifies the answer.
     ///
     /// # Errors
-    /// Where there is no final answer, or a successful one that is not whole or belongs to another
-    /// request.
+    /// Returns an error if there is no complete answer, or if a successful one belongs to another request or
+    /// lacks a part.
     pub async fn ask(
         &mut self,
         node: SocketAddr,
@@ -129,7 +129,7 @@
             let handshake = http1::handshake(TokioIo::new(stream)).await;
             let (tx, conn) = handshake.map_err(|_| CallerError::NoConnection)?;
             tokio::spawn(async move {
-                // A broken connection shows up at the sender.
+                // The sender notices a broken connection.
                 let _ = conn.await;
             });
             self.connection = Some((node, tx));
@@ -156,7 +156,7 @@
     req
 }
 
-/// Checks that a successful answer is whole and the one to the request.
+/// Checks that a successful answer is complete and belongs to the request.
 fn check(request: &CallerRequest, answer: &Answer) -> Result<(), CallerError> {
     if !answer.status.is_success() {
         return Ok(());
@@ -178,5 +178,5 @@
     Ok(())
 }
 
-/// Tokens of an event, as the configurations of the stand-ins state them.
+/// Tokens per event; equals `stride` in the stand-in configuration.
 const STEPS_PER_EVENT: u64 = 46;
--- a/crates/azuresaddle-standin/src/platform/configuration.rs
+++ b/crates/azuresaddle-standin/src/platform/configuration.rs
@@ -1,23 +1,23 @@
-//! Configurations as the operator writes them.
+//! Builds configuration documents in the form in which the operator writes them.
 
 use serde_json::{Value, json};
 
 /// A route.
 #[derive(Clone, Debug)]
 pub struct RouteSpec {
-    /// Prefix of the path, with a slash at both ends.
+    /// Path prefix, with a leading and a trailing slash.
     pub prefix: String,
-    /// Service that requests go to.
+    /// Name of the service that handles the requests.
     pub service: String,
-    /// `idempotent`, `non_idempotent` or `streaming`.
+    /// Route type: `idempotent`, `non_idempotent` or `streaming`.
     pub kind: &'static str,
-    /// Whether a stream may go on at another target.
+    /// Whether an interrupted stream may be resumed on another target.
     pub resumable: bool,
-    /// Longest time, in milliseconds.
+    /// Request timeout, in milliseconds.
     pub timeout_ms: u64,
     /// Latency target, in milliseconds.
     pub target_ms: u64,
-    /// Most targets of one request.
+    /// Maximum number of targets that one request is sent to.
     pub attempts: u32,
 }
 
@@ -35,7 +35,7 @@
 pub struct AccountSpec {
     /// Name.
     pub name: String,
-    /// Keys.
+    /// API keys.
     pub keys: Vec<String>,
 }
 
@@ -44,7 +44,7 @@
 pub struct ConfigurationSpec {
     /// Version.
     pub version: u64,
-    /// Host of all routes.
+    /// Host name of all routes.
     pub host: String,
     /// Routes.
     pub routes: Vec<RouteSpec>,
@@ -52,12 +52,12 @@
     pub services: Vec<ServiceSpec>,
     /// Client accounts.
     pub accounts: Vec<AccountSpec>,
-    /// Longest body that a caller may send.
+    /// Maximum size of a request body, in bytes.
     pub max_body_bytes: u64,
 }
 
 impl ConfigurationSpec {
-    /// Text of the document.
+    /// Returns the configuration as a JSON document.
     pub fn to_json(&self) -> String {
         let routes: Vec<Value> = self.routes.iter().map(|r| self.route_json(r)).collect();
         let services: Vec<Value> = self.services.iter().map(service_json).collect();
--- a/crates/azuresaddle-standin/src/platform/demo.rs
+++ b/crates/azuresaddle-standin/src/platform/demo.rs
@@ -1,4 +1,5 @@
-//! The path on the platform in one process: store, targets, three nodes, checked callers.
+//! Demo of a request's path through the platform in one process: the store, targets, three nodes and
+//! callers that verify their answers.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -19,35 +20,37 @@
 /// Number of nodes.
 const NODES: u8 = 3;
 
-/// Time for the nodes to learn the configuration, the targets and each other.
+/// Time that the nodes need to learn the configuration, the targets and each other.
 const SETTLE: Duration = Duration::from_millis(1500);
 
-/// Short prompts of each part.
+/// Number of short prompts in each part of the demo.
 const SHORT_PROMPTS: u64 = 60;
 
-/// Time between two short prompts.
+/// Interval between two short prompts.
 const INTERVAL: Duration = Duration::from_millis(40);
 
-/// Lengths of the prompts beside them, in tokens; the last needs the memory of several engines.
+/// Lengths of the long prompts of the second part, in tokens; the last one needs the memory of several
+/// engines.
 const LONG_PROMPTS: [u64; 4] = [90_000, 200_000, 300_000, 600_000];
 
-/// What the demo measured.
+/// Measurements of the demo.
 #[derive(Clone, Debug, Default)]
 pub struct PlatformDemoReport {
-    /// Whole answers.
+    /// Number of complete answers.
     pub whole: u64,
-    /// Requests without a whole answer.
+    /// Number of requests without a complete answer.
     pub failed: u64,
-    /// 95th percentile of the time to a whole answer of short prompts alone, in milliseconds.
+    /// 95th percentile of the time to the complete answer when only short prompts are sent, in
+    /// milliseconds.
     pub alone_p95_ms: u64,
-    /// The same beside long prompts.
+    /// The same percentile while long prompts are running, in milliseconds.
     pub mixed_p95_ms: u64,
 }
 
 /// Runs the demo.
 ///
 /// # Errors
-/// Where something can't be started.
+/// Returns an error if the platform or a node can't be started.
 pub async fn run_platform_demo() -> Result<PlatformDemoReport> {
     let platform = StandInPlatform::open(PlatformOptions {
         engines: 6,
@@ -100,7 +103,8 @@
     Ok(callers)
 }
 
-/// Sends short prompts and returns the 95th percentile of the time to a whole answer.
+/// Sends short prompts and returns the 95th percentile of the time to the complete answer, in
+/// milliseconds.
 async fn short_prompts(nodes: &[SocketAddr], part: u64, demo: &mut PlatformDemoReport) -> u64 {
     let answers = (0..SHORT_PROMPTS).map(|n| async move {
         tokio::time::sleep(INTERVAL * n as u32).await;
@@ -118,7 +122,7 @@
     times.get(last * 95 / 100).copied().unwrap_or(0)
 }
 
-/// Time to a whole answer; `None` where there is none.
+/// Returns the time to the complete answer, or `None` if the request failed.
 async fn ask(node: SocketAddr, request: CallerRequest) -> Option<Duration> {
     let began = Instant::now();
     let answer = Caller::default().ask(node, &request).await.ok()?;
--- a/crates/azuresaddle-standin/src/platform/engine.rs
+++ b/crates/azuresaddle-standin/src/platform/engine.rs
@@ -1,4 +1,4 @@
-//! Engines that work in passes, in real time.
+//! Stand-in engines that generate tokens in passes, in real time.
 
 mod orders;
 
@@ -20,13 +20,13 @@
 use super::target::{RequestHandler, Target, TargetFault, header_text, read_body};
 use crate::passes::EngineModel;
 
-/// Time that a stalling engine adds to each pass.
+/// Time that an engine with [`TargetFault::Stalls`] adds to each pass.
 const STALL: Duration = Duration::from_millis(1600);
 
-/// Time of a slow engine's passes against the usual one.
+/// Factor by which [`TargetFault::Slow`] lengthens each pass.
 const SLOW_PACE: f64 = 4.0;
 
-/// All engines of a service by address, for prompts that several read.
+/// All engines of a service by address, to find the helpers of a prompt that several engines prefill.
 #[derive(Clone, Default)]
 pub(super) struct EngineRegistry(Arc<Mutex<HashMap<SocketAddr, Arc<Engine>>>>);
 
@@ -35,7 +35,7 @@
         self.lock().insert(addr, engine);
     }
 
-    /// Makes an engine known by one more address.
+    /// Registers an engine under an additional address.
     pub(super) fn add_alias(&self, addr: SocketAddr, alias: SocketAddr) {
         let engine = self.get(addr);
         if let Some(engine) = engine {
@@ -59,7 +59,7 @@
     answer_tokens: u64,
     next_event: u64,
     parts_left: usize,
-    /// Whether a fault has silenced it for good.
+    /// Whether a fault has stopped its events for good.
     is_silent: bool,
 }
 
@@ -107,7 +107,7 @@
         engine
     }
 
-    /// Tokens that are reserved now.
+    /// Returns the tokens of memory reserved at present.
     pub(super) fn reserved_tokens(&self) -> u64 {
         let now = Instant::now();
         let mut state = self.lock();
@@ -142,7 +142,7 @@
         }
         let steps = u64::from(self.spec.steps_per_pass);
         for id in end.prefilled {
-            // Parts that were read for another engine belong to a stream there.
+            // A part that was prefilled for another engine has no stream here.
             let Some(stream) = state.streams.get_mut(&id) else {
                 continue;
             };
@@ -163,7 +163,7 @@
         }
     }
 
-    /// Takes a request: a stream of events.
+    /// Starts a stream of events for a request.
     async fn stream(&self, target: &Arc<Target>, req: Request<Incoming>) -> Response<ChannelBody> {
         let map = req.headers().clone();
         let body = read_body(req).await;
@@ -216,7 +216,7 @@
         target.answer(&attempt, ChannelBody(rx))
     }
 
-    /// Engines that read parts; `None` where one is gone or lacks its reservation.
+    /// Returns the engines that help with the prefill, or `None` if one is unknown or lacks its reservation.
     fn helpers(&self, map: &hyper::HeaderMap) -> Option<Vec<Arc<Self>>> {
         let value = header_text(map, headers::HELPERS.as_str());
         let entries = value.split(',').filter(|e| !e.is_empty());
@@ -260,7 +260,7 @@
 }
 
 impl State {
-    /// Writes the next event of a stream; false where it ended or its caller left.
+    /// Writes the next event of a stream; returns `false` if the stream ended or its caller disconnected.
     fn write_event(&mut self, id: usize, is_last: bool, target: &Target) -> bool {
         let Some(stream) = self.streams.get_mut(&id) else {
             return false;
@@ -269,7 +269,7 @@
             TargetFault::Silent | TargetFault::AnswersLost => stream.is_silent = true,
             TargetFault::AbortsAnswers if stream.next_event > 1 => {
                 let half = Bytes::from(format!("id: {}\nda", stream.next_event));
-                // Dropping the stream breaks the body off inside the event.
+                // Dropping the stream aborts the body in the middle of the event.
                 let _ = stream.chunks.send(Chunk::Data(half));
                 return false;
             }
@@ -295,12 +295,12 @@
     }
 }
 
-/// Text of an event.
+/// Returns the text of a server-sent event.
 pub(super) fn event_text(id: u64) -> String {
     format!("id: {id}\ndata: token {id}\n\n")
 }
 
-/// Serves an engine's calls.
+/// Handles the requests, reservations and load reports of an engine.
 pub(super) struct EngineHandler(pub(super) Arc<Engine>);
 
 impl RequestHandler for EngineHandler {
--- a/crates/azuresaddle-standin/src/platform/engine/orders.rs
+++ b/crates/azuresaddle-standin/src/platform/engine/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to an engine: reservations of memory.
+//! Orders to an engine, which reserve and release memory.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,10 +13,10 @@
 use super::Engine;
 use crate::platform::target::{Target, TargetFault};
 
-/// Time after which an order is carried out late.
+/// Delay of an order under [`TargetFault::OrdersLate`].
 const LATE_ORDER: Duration = Duration::from_millis(900);
 
-/// Most reservations of memory at a time.
+/// Maximum number of concurrent memory reservations.
 const MAX_RESERVATIONS: usize = 64;
 
 #[derive(Deserialize)]
@@ -30,7 +30,7 @@
 }
 
 impl Engine {
-    /// Takes an order, or makes its caller wait in vain.
+    /// Executes an order; under a fault of orders, the caller never gets an answer.
     pub(super) async fn take_order(
         self: Arc<Self>,
         target: &Target,
@@ -45,7 +45,7 @@
                 self.order(&body);
             }
             TargetFault::OrdersLate => {
-                // Goes on after its caller has left.
+                // Runs on after the caller has disconnected.
                 tokio::spawn(async move {
                     tokio::time::sleep(LATE_ORDER).await;
                     self.order(&body);
--- a/crates/azuresaddle-standin/src/platform/mod.rs
+++ b/crates/azuresaddle-standin/src/platform/mod.rs
@@ -1,5 +1,5 @@
-//! Stand-ins that speak the platform's published protocol: its store, engines that work in passes,
-//! plain services, and a caller that checks what it gets.
+//! Stand-ins that speak the platform's published protocol: its store, engines that generate tokens in
+//! passes, plain services, and a caller that verifies the answers.
 
 mod body;
 mod caller;
--- a/crates/azuresaddle-standin/src/platform/plain.rs
+++ b/crates/azuresaddle-standin/src/platform/plain.rs
@@ -11,13 +11,14 @@
 use super::body::{ChannelBody, Chunk};
 use super::target::{RequestHandler, Target, TargetFault, header_text, read_body};
 
-/// Time to work on a request.
+/// Time that a request takes.
 const SERVICE_TIME: Duration = Duration::from_millis(5);
 
-/// Does a little work and answers with a text that only the request's own answer can be.
+/// Answers after a short delay with a text that is unique to the attempt, so that a caller can detect the
+/// answer to another request.
 pub(super) struct PlainHandler;
 
-/// Body of the answer to an attempt.
+/// Returns the body of the answer to an attempt.
 pub(super) fn plain_body(attempt: &str) -> String {
     format!("answer to {attempt}\n")
 }
@@ -40,7 +41,7 @@
             TargetFault::Silent => std::future::pending::<()>().await,
             TargetFault::AnswersLost | TargetFault::AbortsAnswers => {
                 let (tx, rx) = tokio::sync::mpsc::unbounded_channel();
-                // Begun and broken off.
+                // Dropping the sender aborts the body after these bytes.
                 let _ = tx.send(Chunk::Data(bytes::Bytes::from_static(b"ans")));
                 return target.answer(&attempt, ChannelBody(rx));
             }
--- a/crates/azuresaddle-standin/src/platform/raw.rs
+++ b/crates/azuresaddle-standin/src/platform/raw.rs
@@ -1,4 +1,4 @@
-//! A target that writes its answers byte by byte, to break the protocol where a library would not.
+//! A target that writes raw bytes to the connection, to violate HTTP in ways that a library prevents.
 
 use std::io;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -11,44 +11,44 @@
 use super::plain::plain_body;
 use super::target::Target;
 
-/// Longest head that is read, in bytes.
+/// Maximum size of a request head, in bytes.
 const MAX_HEAD_BYTES: usize = 16 << 10;
 
-/// Time between an early answer and the reading of the body.
+/// Pause between an early answer and reading the request body.
 const EARLY_PAUSE: Duration = Duration::from_millis(150);
 
-/// How a target breaks the protocol.
+/// The way in which a target violates HTTP.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProtocolFault {
-    /// Writes bytes after the answer that belong to no request.
+    /// Writes extra bytes after the answer.
     Surplus,
-    /// Writes the answer a second time where the next one is due.
+    /// Writes the answer twice, so that the copy is in the place of the next answer.
     Repeated,
-    /// States no length; the connection ends after the body.
+    /// Sends no length; the end of the connection ends the body.
     Unframed,
-    /// States no length; the connection is reset in the middle of the body.
+    /// Sends no length and resets the connection in the middle of the body.
     UnframedReset,
-    /// Answers before it has read the body, and reads that later.
+    /// Answers before it reads the request body.
     Early,
-    /// Writes bytes that are no answer.
+    /// Writes bytes that are not HTTP.
     Garbage,
 }
 
-/// What arrived at a target, in order.
+/// Requests that arrived at a target, in order; cheap to clone.
 #[derive(Clone, Debug, Default)]
 pub struct Arrivals(Arc<Mutex<Vec<Arrival>>>);
 
 /// A request as it arrived.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Arrival {
-    /// Id of the attempt; empty where the head had none.
+    /// Id of the attempt; empty if the head had none.
     pub attempt: String,
-    /// Whether the body was what the head announced, all of it of one letter.
+    /// Whether the body consisted of the letter `x` alone over the length that the head announced.
     pub is_whole: bool,
 }
 
 impl Arrivals {
-    /// All arrivals so far.
+    /// Returns all arrivals so far.
     pub fn all(&self) -> Vec<Arrival> {
         self.lock().clone()
     }
@@ -81,7 +81,7 @@
             tokio::spawn(async move {
                 tokio::select! {
                     () = stopped.cancelled() => {}
-                    // A broken connection is the caller's to see.
+                    // The caller notices a broken connection itself.
                     _ = conn.run() => {}
                 }
             });
@@ -96,7 +96,7 @@
     arrivals: Arrivals,
 }
 
-/// What is read of a head.
+/// The parts of a request head that the target uses.
 struct Head {
     attempt: String,
     length: usize,
@@ -152,7 +152,7 @@
         })
     }
 
-    /// Answers; false where the connection ends with the answer.
+    /// Records the run and writes the answer; returns `false` if the connection ends after it.
     async fn run_and_answer(&mut self, head: &Head) -> io::Result<bool> {
         let Head {
             attempt,
@@ -186,7 +186,7 @@
         let stream = self.stream.get_mut();
         stream.write_all(text.as_bytes()).await?;
         if self.fault == ProtocolFault::UnframedReset {
-            // The beginning arrives before the reset.
+            // Lets the start of the answer arrive before the reset.
             tokio::time::sleep(Duration::from_millis(20)).await;
             stream.set_zero_linger()?;
         }
--- a/crates/azuresaddle-standin/src/platform/runs.rs
+++ b/crates/azuresaddle-standin/src/platform/runs.rs
@@ -1,27 +1,27 @@
-//! What targets ran, for checks of at most once.
+//! Records which attempts the targets ran, for checks of at-most-once execution.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Runs of one attempt of a caller.
+/// All runs of one attempt of a caller.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct AttemptRuns {
-    /// How often a target began to work on it.
+    /// How often a target started to run the attempt.
     pub count: u32,
-    /// Client account that the target was told.
+    /// Client account that the node passed to the target, as of the latest run.
     pub account: Option<String>,
-    /// Whether the caller's key reached a target.
+    /// Whether the caller's API key was forwarded to a target.
     pub has_key: bool,
-    /// Services that ran it.
+    /// Service of each run, in order.
     pub services: Vec<String>,
 }
 
-/// All runs by attempt; cheap to clone.
+/// Runs of all attempts by attempt id; cheap to clone.
 #[derive(Clone, Debug, Default)]
 pub struct Runs(Arc<Mutex<HashMap<String, AttemptRuns>>>);
 
 impl Runs {
-    /// Notes that a target begins to work on an attempt.
+    /// Records that a target starts to run an attempt.
     pub(super) fn record_run(
         &self,
         attempt: &str,
@@ -37,17 +37,17 @@
         run.services.push(service.to_owned());
     }
 
-    /// Runs of an attempt.
+    /// Returns the runs of an attempt; empty if it never ran.
     pub fn of(&self, attempt: &str) -> AttemptRuns {
         self.lock().get(attempt).cloned().unwrap_or_default()
     }
 
-    /// Number of attempts that ran.
+    /// Returns the number of attempts that ran.
     pub fn len(&self) -> usize {
         self.lock().len()
     }
 
-    /// Whether nothing ran.
+    /// Returns whether no attempt ran.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/crates/azuresaddle-standin/src/platform/signals.rs
+++ b/crates/azuresaddle-standin/src/platform/signals.rs
@@ -1,4 +1,4 @@
-//! Signals of a stand-in target.
+//! Signals that a stand-in target sends to the nodes in response headers.
 
 use std::time::Duration;
 
@@ -8,16 +8,16 @@
 /// Signals that a target announces in its answers.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Signals {
-    /// Rate limit for all nodes together, in requests per second.
+    /// Rate limit across all nodes, in requests per second.
     pub rate_limit: Option<f64>,
-    /// Whether it is draining.
+    /// Whether the target is draining.
     pub is_draining: bool,
-    /// Back-off that it answers each request with; it rejects all of them then.
+    /// Back-off sent with each answer; while it is set, the target rejects every request.
     pub back_off: Option<Duration>,
 }
 
 impl Signals {
-    /// Adds the headers to an answer.
+    /// Adds the signals to the headers of an answer.
     pub(super) fn add_to(&self, map: &mut HeaderMap) {
         let mut insert = |name, text: String| {
             if let Ok(value) = HeaderValue::from_str(&text) {
--- a/crates/azuresaddle-standin/src/platform/stand_in.rs
+++ b/crates/azuresaddle-standin/src/platform/stand_in.rs
@@ -1,4 +1,4 @@
-//! A platform with its store, targets and configuration, on loopback addresses.
+//! A stand-in platform with a store, targets and a configuration, on loopback addresses.
 
 mod desired_state;
 mod restart;
@@ -28,18 +28,18 @@
 use desired_state::DesiredState;
 pub use store_rollback::StoreRollback;
 
-/// Interval of the targets' heartbeats, in milliseconds.
+/// Interval of the targets' heartbeats that the settings of the nodes state, in milliseconds.
 const TARGET_HEARTBEAT_MS: u64 = 500;
 
-/// Unix milliseconds that targets tell as their first start; only the order of starts counts.
+/// Time that targets report for their first start, in Unix milliseconds; only the order of starts matters.
 const FIRST_START_MS: u64 = 1_790_000_000_000;
 
-/// Sizes of a platform.
+/// Number of targets of a stand-in platform.
 #[derive(Clone, Copy, Debug)]
 pub struct PlatformOptions {
-    /// Engines.
+    /// Number of engines.
     pub engines: usize,
-    /// Plain targets.
+    /// Number of targets of the plain service.
     pub plain: usize,
 }
 
@@ -52,7 +52,7 @@
     }
 }
 
-/// A running platform.
+/// A running stand-in platform.
 pub struct StandInPlatform {
     /// The store.
     pub store: PlatformStoreModel,
@@ -60,20 +60,20 @@
     pub store_addr: SocketAddr,
     /// Engines.
     pub engines: Vec<TargetHandle>,
-    /// Plain targets.
+    /// Targets of the plain service.
     pub plain: Vec<TargetHandle>,
-    /// What ran.
+    /// Attempts that the targets ran.
     pub runs: Runs,
-    /// Requests that end their targets.
+    /// Requests that crash their targets.
     pub crashing_requests: CrashingRequests,
-    /// The configuration that was written last.
+    /// Current configuration; changes take effect once it is written.
     pub configuration: ConfigurationSpec,
     registry: EngineRegistry,
     models: Vec<Arc<Engine>>,
     target_count: usize,
-    /// What the operator and the targets say now.
+    /// Entries that the operator and the targets currently want in the store.
     desired_state: DesiredState,
-    /// Address that a target is registered with, where it is not its own.
+    /// Address of the proxy under which a target is registered, by target id.
     proxy_addrs: HashMap<String, SocketAddr>,
 }
 
@@ -81,7 +81,7 @@
     /// Starts a platform and writes the first configuration.
     ///
     /// # Errors
-    /// Where no port is free.
+    /// Returns an error if no port is free.
     pub async fn open(options: PlatformOptions) -> std::io::Result<Self> {
         let store = PlatformStoreModel::default();
         let listener = TcpNetwork
@@ -119,23 +119,23 @@
         Ok(platform)
     }
 
-    /// Writes the configuration as it is now.
+    /// Writes the current configuration to the store.
     pub fn write_configuration(&self) {
         let json = self.configuration.to_json();
         self.desired_state.write("op/config", json);
     }
 
-    /// Writes a changed configuration with a higher version.
+    /// Changes the configuration and writes it with a higher version.
     pub fn change_configuration(&mut self, change: impl FnOnce(&mut ConfigurationSpec)) {
         change(&mut self.configuration);
         self.configuration.version += 3;
         self.write_configuration();
     }
 
-    /// Starts one more engine.
+    /// Starts another engine and registers it.
     ///
     /// # Errors
-    /// Where no port is free.
+    /// Returns an error if no port is free.
     pub async fn add_engine(&mut self) -> std::io::Result<()> {
         let (listener, target) = self.new_target("llm").await?;
         let engine = self.serve_engine(listener, &target);
@@ -161,10 +161,10 @@
         engine
     }
 
-    /// Starts one more plain target.
+    /// Starts another target of the plain service and registers it.
     ///
     /// # Errors
-    /// Where no port is free.
+    /// Returns an error if no port is free.
     pub async fn add_plain(&mut self) -> std::io::Result<()> {
         let (listener, target) = self.new_target("desk").await?;
         serve_target(listener, Arc::clone(&target), Arc::new(PlainHandler));
@@ -172,10 +172,11 @@
         Ok(())
     }
 
-    /// Starts one more plain target that breaks the protocol; tells what arrives there.
+    /// Starts another target of the plain service, which violates the protocol; returns the requests that
+    /// arrive there.
     ///
     /// # Errors
-    /// Where no port is free.
+    /// Returns an error if no port is free.
     pub async fn add_raw(&mut self, fault: ProtocolFault) -> std::io::Result<Arrivals> {
         let (listener, target) = self.new_target("desk").await?;
         let arrivals = Arrivals::default();
@@ -221,7 +222,7 @@
         self.desired_state.write(&key, entry.to_string());
     }
 
-    /// Registers a target with another address that leads to it.
+    /// Registers a target again, with the address of a proxy in front of it.
     pub fn register_behind_proxy(&mut self, handle: &TargetHandle, proxy_addr: SocketAddr) {
         let target = &handle.target;
         self.proxy_addrs.insert(target.id.clone(), proxy_addr);
@@ -229,34 +230,34 @@
         self.register(target, "ready");
     }
 
-    /// Tells that a target is leaving.
+    /// Registers a target as draining.
     pub fn drain(&self, handle: &TargetHandle) {
         self.register(&handle.target, "draining");
     }
 
-    /// Removes the entry of a target, as the platform does when it has left.
+    /// Removes the entry of a target, as the platform does once the target has stopped.
     pub fn deregister(&self, handle: &TargetHandle) {
         let key = azuresaddle_platform::target_key(&handle.target.id);
         self.desired_state.remove(&key);
     }
 
-    /// Makes a target write its entry no more; the store keeps what it holds.
+    /// Stops a target from writing its entry again; the store keeps the current one.
     pub fn abandon_entry(&self, handle: &TargetHandle) {
         let key = azuresaddle_platform::target_key(&handle.target.id);
         self.desired_state.abandon(&key);
     }
 
-    /// Tokens of memory that are reserved on all engines now.
+    /// Returns the tokens of memory reserved on all engines at present.
     pub fn reserved_tokens(&self) -> u64 {
         self.models.iter().map(|m| m.reserved_tokens()).sum()
     }
 
-    /// Settings file of a node at a loopback address; all nodes share the ports from `port` on.
+    /// Returns the settings file of a node on a loopback address; all nodes use the same ports, from `port` on.
     pub fn settings(&self, name: &str, ip: Ipv4Addr, port: u16, seeds: &[Ipv4Addr]) -> String {
         self.settings_with_store(name, ip, port, seeds, self.store_addr)
     }
 
-    /// The same with the store at another address that leads to it.
+    /// Like [`Self::settings`], with the address of a proxy in front of the store.
     pub fn settings_with_store(
         &self,
         name: &str,
--- a/crates/azuresaddle-standin/src/platform/stand_in/desired_state.rs
+++ b/crates/azuresaddle-standin/src/platform/stand_in/desired_state.rs
@@ -1,4 +1,4 @@
-//! What the operator and the targets have written, whatever the store has kept of it.
+//! The entries that the operator and the targets want in the store, whether or not the store still has them.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -7,7 +7,7 @@
 
 use crate::platform::store::PlatformStoreModel;
 
-/// Values by key as their writers mean them to be; cheap to clone.
+/// Desired value of each key; cheap to clone.
 #[derive(Clone)]
 pub(super) struct DesiredState {
     store: PlatformStoreModel,
@@ -22,31 +22,31 @@
         }
     }
 
-    /// Writes a value.
+    /// Sets the desired value of a key and writes it to the store.
     pub(super) fn write(&self, key: &str, value: String) {
         let mut values = self.lock();
         self.store.put(key, value.clone());
         values.insert(key.to_owned(), value);
     }
 
-    /// Removes a key.
+    /// Removes a key, from the store too.
     pub(super) fn remove(&self, key: &str) {
         let mut values = self.lock();
         self.store.remove(key);
         values.remove(key);
     }
 
-    /// Forgets a key, which its writer no longer keeps.
+    /// Drops a key that its writer no longer refreshes; the store keeps its value.
     pub(super) fn abandon(&self, key: &str) {
         self.lock().remove(key);
     }
 
-    /// Keys that hold a value.
+    /// Returns the keys with a desired value.
     pub(super) fn keys(&self) -> Vec<String> {
         self.lock().keys().cloned().collect()
     }
 
-    /// Writes the present value of a key once more, as its next entry where a target numbers them.
+    /// Writes the current value of a key again; an entry of a target gets the next sequence number.
     pub(super) fn write_again(&self, key: &str) {
         let mut values = self.lock();
         let Some(value) = values.get_mut(key) else {
@@ -56,7 +56,7 @@
         self.store.put(key, value.clone());
     }
 
-    /// Removes a key that the store holds and nobody writes any more.
+    /// Removes a key from the store if no writer refreshes it any more.
     pub(super) fn remove_if_abandoned(&self, key: &str) {
         let values = self.lock();
         if !values.contains_key(key) {
--- a/crates/azuresaddle-standin/src/platform/stand_in/restart.rs
+++ b/crates/azuresaddle-standin/src/platform/stand_in/restart.rs
@@ -1,4 +1,4 @@
-//! Targets that start again under their name.
+//! Restarts targets under the same name and address.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::{Arc, Mutex};
@@ -11,17 +11,17 @@
 use crate::platform::plain::PlainHandler;
 use crate::platform::target::{Target, TargetFault, TargetHandle, serve_target};
 
-/// Most tries to bind the port of an ended target.
+/// Maximum number of retries to bind the port of a stopped target.
 const MAX_BINDS: u32 = 100;
 
-/// Pause between them.
+/// Pause between two attempts to bind the port.
 const BIND_PAUSE: Duration = Duration::from_millis(10);
 
 impl StandInPlatform {
-    /// Ends an engine and starts it again under its name and address; it holds nothing then.
+    /// Kills an engine and restarts it under the same name and address, without streams or reservations.
     ///
     /// # Errors
-    /// Where the port can't be bound again.
+    /// Returns an error if the port can't be bound again.
     pub async fn restart_engine(&mut self, n: usize) -> std::io::Result<()> {
         let (listener, target) = self.respawn_target(&self.engines[n].clone()).await?;
         self.models[n] = self.serve_engine(listener, &target);
@@ -29,10 +29,10 @@
         Ok(())
     }
 
-    /// Ends a plain target and starts it again under its name and address.
+    /// Kills a target of the plain service and restarts it under the same name and address.
     ///
     /// # Errors
-    /// Where the port can't be bound again.
+    /// Returns an error if the port can't be bound again.
     pub async fn restart_plain(&mut self, n: usize) -> std::io::Result<()> {
         let (listener, target) = self.respawn_target(&self.plain[n].clone()).await?;
         serve_target(listener, Arc::clone(&target), Arc::new(PlainHandler));
@@ -40,10 +40,10 @@
         Ok(())
     }
 
-    /// Starts again every target that has ended by itself.
+    /// Restarts every target that has crashed.
     ///
     /// # Errors
-    /// Where a port can't be bound again.
+    /// Returns an error if a port can't be bound again.
     pub async fn restart_ended(&mut self) -> std::io::Result<()> {
         for n in 0..self.engines.len() {
             if self.engines[n].has_ended() {
@@ -68,7 +68,7 @@
         let listener = loop {
             match TcpListener::bind(old.addr).await {
                 Ok(listener) => break listener,
-                // The ended start lets go of its port a moment later.
+                // The killed target releases its port with a short delay.
                 Err(_) if tries < MAX_BINDS => tries += 1,
                 Err(e) => return Err(e),
             }
--- a/crates/azuresaddle-standin/src/platform/stand_in/store_rollback.rs
+++ b/crates/azuresaddle-standin/src/platform/stand_in/store_rollback.rs
@@ -1,4 +1,4 @@
-//! A store that is away for a while and comes back from an older copy.
+//! An outage of the store after which it is restored from an older copy.
 
 use std::time::Duration;
 
@@ -10,26 +10,26 @@
 use crate::platform::stand_in::desired_state::DesiredState;
 use crate::platform::store::{PlatformStoreModel, StoreFault};
 
-/// Time within which the operator and all targets have written again what they say.
+/// Time within which the operator and all targets have rewritten their entries after a rollback.
 const REWRITE_TIME: Duration = Duration::from_millis(1900);
 
-/// Time after the return at which entries that nobody writes any more are removed: three of the targets' heartbeats.
+/// Time after the rewrite at which entries without a writer are removed: at least three heartbeats of the targets.
 const ABANDONED_ENTRY_LIFETIME: Duration = Duration::from_millis(2000);
 
-/// How the store goes back.
+/// Parameters of a rollback of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StoreRollback {
-    /// Time for which it is away.
+    /// Duration of the outage before the rollback.
     pub outage: Duration,
-    /// Age of the copy.
+    /// Age of the copy that is restored.
     pub copy_age: Duration,
-    /// Seed of the order in which what was lost is written again.
+    /// Seed of the order and the times of the rewrites.
     pub seed: u64,
 }
 
 impl StandInPlatform {
-    /// Takes the store away and brings it back from an older copy; what its writers say is written again, in any
-    /// order, after this returns.
+    /// Makes the store unreachable, then restores it from an older copy. The writers rewrite their entries in
+    /// random order after this method has returned.
     pub async fn roll_back_store(&self, how: StoreRollback) {
         self.store.set_fault(StoreFault::Silent);
         tokio::time::sleep(how.outage).await;
--- a/crates/azuresaddle-standin/src/platform/store.rs
+++ b/crates/azuresaddle-standin/src/platform/store.rs
@@ -1,4 +1,4 @@
-//! The stand-in for the platform's store, as its servers and the tests use it.
+//! The stand-in for the platform's store, as its HTTP server and the tests use it.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -9,29 +9,29 @@
 use super::store_state::{Change, State, Stored};
 use super::undo_log::Undo;
 
-/// Era of a store that has never gone back.
+/// Era of a store that has never been rolled back.
 const FIRST_ERA: u64 = 1;
 
-/// How the store misbehaves.
+/// A fault of the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum StoreFault {
-    /// It does not.
+    /// No fault.
     #[default]
     None,
-    /// Answers 503; nothing is done.
+    /// Answers every call with status 503 and executes none.
     Unavailable,
-    /// Answers nothing.
+    /// Neither executes nor answers calls.
     Silent,
-    /// Answers late.
+    /// Delays each call by this time.
     Slow(Duration),
-    /// Does writes without answering.
+    /// Executes writes but does not answer them.
     AnswersLost,
 }
 
-/// A condition of a transaction failed; the present state of its keys.
+/// A condition of a transaction failed; contains the current state of the expected keys.
 pub(super) struct Conflict(pub(super) Vec<(String, Option<Stored>)>);
 
-/// The store; cheap to clone.
+/// The stand-in store; cheap to clone.
 #[derive(Clone)]
 pub struct PlatformStoreModel {
     state: Arc<Mutex<State>>,
@@ -48,17 +48,17 @@
 }
 
 impl PlatformStoreModel {
-    /// Makes the store misbehave, or stop to.
+    /// Sets the fault of the store, or clears it with [`StoreFault::None`].
     pub fn set_fault(&self, fault: StoreFault) {
         self.lock().fault = fault;
     }
 
-    /// How it misbehaves now.
+    /// Returns the current fault.
     pub fn fault(&self) -> StoreFault {
         self.lock().fault
     }
 
-    /// Calls so far.
+    /// Returns the number of calls so far.
     pub fn calls(&self) -> u64 {
         self.lock().calls
     }
@@ -67,7 +67,7 @@
         self.lock().calls += 1;
     }
 
-    /// Writes a key without a condition, as the operator and the targets do.
+    /// Writes a key unconditionally, as the operator and the targets do, and returns the new revision.
     pub fn put(&self, key: &str, value: impl Into<Vec<u8>>) -> u64 {
         let mut state = self.lock();
         state.put(key, value.into(), 0);
@@ -86,15 +86,15 @@
         self.changed.send_replace(revision);
     }
 
-    /// Forgets the history, so that watches have to read anew.
+    /// Compacts the whole change history, so that watches have to list their keys again.
     pub fn compact(&self) {
         let mut state = self.lock();
         state.history.clear();
         state.compacted = state.revision;
     }
 
-    /// Goes back to the copy of a time ago: what was written since is gone, and its revisions and leases are
-    /// given out again.
+    /// Rolls the store back to its state of `by` ago: later writes are lost, and their revisions and leases are
+    /// assigned again.
     pub fn roll_back(&self, by: Duration) {
         let mut state = self.lock();
         state.end_leases();
@@ -104,12 +104,12 @@
         self.changed.send_replace(revision);
     }
 
-    /// Number that rises by one each time the store goes back.
+    /// Returns the era of the store, which rises by one with each rollback.
     pub fn era(&self) -> u64 {
         FIRST_ERA + self.lock().rollbacks
     }
 
-    /// Keys that begin with `prefix`.
+    /// Returns the keys that begin with `prefix`.
     pub fn keys(&self, prefix: &str) -> Vec<String> {
         let mut state = self.lock();
         state.end_leases();
@@ -142,7 +142,8 @@
         (page, has_more, state.revision)
     }
 
-    /// Changes after a revision; `None` where they are forgotten, or the revision has not been given out.
+    /// Returns the changes after a revision and the current revision; `None` if the changes are compacted or
+    /// the revision has not been assigned yet.
     pub(super) fn changes(&self, prefix: &str, after: u64) -> Option<(Vec<Change>, u64)> {
         let mut state = self.lock();
         state.end_leases();
@@ -196,7 +197,7 @@
         lease
     }
 
-    /// Renews a lease; its time to live, or `None` where it has ended.
+    /// Renews a lease and returns its time to live, or `None` if it has expired.
     pub(super) fn keep_lease(&self, lease: u64) -> Option<Duration> {
         let mut state = self.lock();
         state.end_leases();
--- a/crates/azuresaddle-standin/src/platform/store_server.rs
+++ b/crates/azuresaddle-standin/src/platform/store_server.rs
@@ -1,4 +1,4 @@
-//! The stand-in for the platform's store, over HTTP.
+//! HTTP interface of the stand-in for the platform's store.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -18,19 +18,19 @@
 use super::store::{PlatformStoreModel, StoreFault};
 use super::store_state::{Change, Stored};
 
-/// Tells in each answer how often the store has gone back.
+/// Response header with the store's era, which rises with each rollback.
 const ERA: HeaderName = HeaderName::from_static("store-era");
 
-/// Items of one page.
+/// Maximum number of items in one page of a range.
 const PAGE_ITEMS: usize = 500;
 
-/// Longest wait of a watch.
+/// Maximum time that a watch waits for a change.
 const MAX_WAIT: Duration = Duration::from_secs(30);
 
-/// Longest request body, in bytes.
+/// Maximum size of a request body, in bytes.
 const MAX_BODY_BYTES: usize = 4 << 20;
 
-/// Longest time for a request body.
+/// Timeout for reading a request body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(5);
 
 #[derive(Deserialize)]
@@ -62,7 +62,7 @@
     ttl_ms: u64,
 }
 
-/// Answers the store's calls.
+/// Handles the HTTP calls to the store.
 pub(super) struct StoreServer(pub(super) PlatformStoreModel);
 
 impl Handler for StoreServer {
@@ -71,7 +71,7 @@
         let era = self.0.era();
         let mut response = self.answer_unless_faulty(req).await;
         if self.0.era() != era {
-            // Its connection ended with the store that took the call.
+            // The store was rolled back during the call; the caller must not get an answer of the old store.
             std::future::pending::<()>().await;
         }
         response.headers_mut().insert(ERA, HeaderValue::from(era));
@@ -165,7 +165,7 @@
                 let events: Vec<Value> = changes.iter().map(change_json).collect();
                 return respond(&json!({"events": events, "at": at}));
             }
-            // The sender lives as long as the store; a timeout returns what there is.
+            // The sender lives as long as the store; after a timeout, the loop answers with the changes so far.
             let _ = tokio::time::timeout_at(until, changed.changed()).await;
         }
     }
--- a/crates/azuresaddle-standin/src/platform/store_state.rs
+++ b/crates/azuresaddle-standin/src/platform/store_state.rs
@@ -1,4 +1,4 @@
-//! State of the stand-in for the platform's store.
+//! State of the stand-in for the platform's store: keys, change history and leases.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::Duration;
@@ -8,10 +8,10 @@
 use super::store::StoreFault;
 use super::undo_log::{Undo, UndoLog};
 
-/// Changes that are remembered.
+/// Maximum number of changes kept in the history; older ones are compacted.
 const MAX_HISTORY: usize = 2000;
 
-/// A stored value.
+/// A stored value with its revisions and its lease; lease 0 stands for none.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Stored {
     pub(super) value: Vec<u8>,
@@ -20,7 +20,7 @@
     pub(super) lease: u64,
 }
 
-/// A change of one key; without a value it was removed.
+/// A change of one key; `stored` is `None` if the key was removed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Change {
     pub(super) key: String,
@@ -28,15 +28,15 @@
     pub(super) revision: u64,
 }
 
-/// What the store holds.
+/// State of the store.
 #[derive(Default)]
 pub(super) struct State {
-    /// Times that it has gone back to an older copy.
+    /// Number of rollbacks to an older copy.
     pub(super) rollbacks: u64,
     pub(super) undo: UndoLog,
     pub(super) items: BTreeMap<String, Stored>,
     pub(super) history: VecDeque<Change>,
-    /// Changes up to this revision are forgotten.
+    /// Changes up to this revision are no longer in the history.
     pub(super) compacted: u64,
     pub(super) revision: u64,
     pub(super) leases: HashMap<u64, (Duration, Instant)>,
--- a/crates/azuresaddle-standin/src/platform/target.rs
+++ b/crates/azuresaddle-standin/src/platform/target.rs
@@ -1,4 +1,4 @@
-//! A target: the HTTP side that engines and plain services share.
+//! HTTP server of a stand-in target, shared by engines and plain services.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -25,29 +25,30 @@
 use super::runs::Runs;
 use super::signals::Signals;
 
-/// How a target misbehaves.
+/// A fault of a target.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum TargetFault {
-    /// It does not.
+    /// No fault.
     #[default]
     None,
-    /// Takes requests, runs them and answers nothing.
+    /// Runs requests but never answers them.
     Silent,
     /// Declines every request.
     DeclinesAll,
-    /// Runs requests and loses the answers.
+    /// Runs requests and loses the answers: engines send no events, plain targets abort the body.
     AnswersLost,
-    /// Breaks off streams inside an event.
+    /// Aborts answers in the middle: engines inside an event after the first one, plain targets inside the
+    /// body.
     AbortsAnswers,
     /// Answers with the id of another request.
     WrongAttemptId,
-    /// Works much slower: each pass takes 1.6 s more.
+    /// Each pass takes 1.6 s longer.
     Stalls,
-    /// Each pass takes four times as long, and its report says so.
+    /// Each pass takes four times as long, and the load report states this pace.
     Slow,
-    /// Carries orders out and answers none of them.
+    /// Executes orders but does not answer them.
     OrdersUnanswered,
-    /// Carries orders out long after they came, and answers none of them.
+    /// Executes orders with a long delay and does not answer them.
     OrdersLate,
 }
 
@@ -58,11 +59,11 @@
     pub at: Instant,
     /// Id of the attempt.
     pub attempt: String,
-    /// Back-off with which the target rejected the request.
+    /// Back-off with which the target rejected the request, if it did.
     pub back_off: Option<Duration>,
 }
 
-/// What the targets of one kind do with a request that they may run.
+/// Handles the requests that a target accepts; engines and plain services implement it.
 pub(super) trait RequestHandler: Send + Sync + 'static {
     /// Runs a request and answers it.
     fn run(
@@ -77,18 +78,18 @@
     pub(super) id: String,
     pub(super) service: String,
     pub(super) addr: SocketAddr,
-    /// Unix milliseconds of its start.
+    /// Time of its start, in Unix milliseconds.
     pub(super) started_ms: u64,
-    /// Entries that this start has written.
+    /// Number of entries written since this start.
     pub(super) entries_written: AtomicU64,
     pub(super) runs: Runs,
-    /// Requests that end it.
+    /// Requests that crash the target.
     pub(super) crashing_requests: CrashingRequests,
     pub(super) fault: Mutex<TargetFault>,
     pub(super) signals: Mutex<Signals>,
-    /// Requests of callers.
+    /// Requests of callers that arrived since this start.
     pub(super) arrivals: Mutex<Vec<ArrivedRequest>>,
-    /// Cancelled when it takes no more connections.
+    /// Cancelled when the target stops accepting connections.
     pub(super) accept_stopped: CancellationToken,
     pub(super) stopped: CancellationToken,
 }
@@ -100,37 +101,37 @@
 }
 
 impl TargetHandle {
-    /// Name, which a later start may bear again.
+    /// Returns the target's id, which it keeps when it restarts.
     pub fn id(&self) -> &str {
         &self.target.id
     }
 
-    /// Where it listens.
+    /// Returns the address that it listens on.
     pub fn addr(&self) -> SocketAddr {
         self.target.addr
     }
 
-    /// Makes the target misbehave, or stop to.
+    /// Sets the fault of the target, or clears it with [`TargetFault::None`].
     pub fn set_fault(&self, fault: TargetFault) {
         *lock(&self.target.fault) = fault;
     }
 
-    /// Makes the target announce signals in all its answers.
+    /// Sets the signals that the target announces in all its answers.
     pub fn set_signals(&self, signals: Signals) {
         *lock(&self.target.signals) = signals;
     }
 
-    /// Requests of callers that arrived at this start, rejected ones among them.
+    /// Returns the requests of callers that arrived since this start, including rejected ones.
     pub fn arrivals(&self) -> Vec<ArrivedRequest> {
         lock(&self.target.arrivals).clone()
     }
 
-    /// Whether the target has ended.
+    /// Returns whether the target has stopped.
     pub fn has_ended(&self) -> bool {
         self.target.stopped.is_cancelled()
     }
 
-    /// Ends the target: all its connections break.
+    /// Kills the target and breaks all its connections.
     pub fn kill(&self) {
         self.target.stopped.cancel();
     }
@@ -145,7 +146,7 @@
         *lock(&self.signals)
     }
 
-    /// Notes that this target begins to work on a request.
+    /// Records that this target starts to run a request.
     pub(super) fn record_run(&self, map: &HeaderMap) {
         let attempt = header_text(map, headers::ATTEMPT_ID.as_str());
         let account = map.get(headers::ACCOUNT).and_then(|v| v.to_str().ok());
@@ -154,7 +155,7 @@
             .record_run(&attempt, &self.service, account, has_key);
     }
 
-    /// An answer that says that the request did not run.
+    /// Returns an answer which states that the request did not run.
     pub(super) fn decline(&self, status: StatusCode) -> Response<ChannelBody> {
         let mut response = Response::new(ChannelBody::whole(""));
         *response.status_mut() = status;
@@ -163,7 +164,7 @@
         response
     }
 
-    /// An answer of a request that ran.
+    /// Returns an answer to a request that ran.
     pub(super) fn answer(&self, attempt: &str, body: ChannelBody) -> Response<ChannelBody> {
         let mut response = Response::new(body);
         let map = response.headers_mut();
@@ -184,13 +185,13 @@
     }
 }
 
-/// Value of a header as text; empty where there is none.
+/// Returns the value of a header as text; empty if it is missing.
 pub(super) fn header_text(map: &HeaderMap, name: &str) -> String {
     let value = map.get(name).and_then(|v| v.to_str().ok());
     value.unwrap_or("").to_owned()
 }
 
-/// Body of a request; empty where it breaks off, as of a request that never came.
+/// Reads the body of a request; empty if the body is incomplete.
 pub(super) async fn read_body(req: Request<Incoming>) -> Bytes {
     let body = req.into_body().collect().await;
     body.map(|b| b.to_bytes()).unwrap_or_default()
@@ -225,7 +226,7 @@
                 let conn = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
                 tokio::select! {
                     () = stopped.cancelled() => {}
-                    // A broken connection is the caller's to see.
+                    // The caller notices a broken connection itself.
                     _ = conn => {}
                 }
             });
--- a/crates/azuresaddle-standin/src/platform/undo_log.rs
+++ b/crates/azuresaddle-standin/src/platform/undo_log.rs
@@ -1,4 +1,4 @@
-//! What it takes to bring the stand-in store back to an earlier state.
+//! Undo log with which the stand-in store is rolled back to an earlier state.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -7,21 +7,21 @@
 
 use super::store_state::Stored;
 
-/// Age of the oldest state that the store can go back to.
+/// Age of the oldest state to which the store can be rolled back.
 const MAX_AGE: Duration = Duration::from_secs(60);
 
-/// The state that one change replaced.
+/// The state that a single change replaced.
 #[derive(Debug)]
 pub(super) enum Undo {
     /// A key was written or removed.
     Changed {
         key: String,
-        /// What it held.
+        /// Previous value of the key.
         before: Option<Stored>,
-        /// The store's revision.
+        /// Revision of the store before the change.
         revision: u64,
     },
-    /// A lease was given.
+    /// A lease was granted.
     Granted(u64),
     /// A lease ended.
     Ended {
@@ -31,12 +31,12 @@
     },
 }
 
-/// The latest changes, for as long as the store may go back behind them.
+/// The latest changes, kept for as long as the store may be rolled back past them.
 #[derive(Debug, Default)]
 pub(super) struct UndoLog(VecDeque<(Instant, Undo)>);
 
 impl UndoLog {
-    /// Notes what a change replaces.
+    /// Records the state that a change replaces.
     pub(super) fn push(&mut self, undo: Undo) {
         let now = Instant::now();
         while self.0.front().is_some_and(|(at, _)| *at + MAX_AGE < now) {
@@ -45,7 +45,7 @@
         self.0.push_back((now, undo));
     }
 
-    /// Takes the latest change, where it was made after a time.
+    /// Removes and returns the latest change if it was made after `to`.
     pub(super) fn pop_after(&mut self, to: Instant) -> Option<Undo> {
         let is_later = self.0.back().is_some_and(|(at, _)| *at > to);
         if !is_later {
