--- a/crates/azuresaddle-standin/src/hosts/mod.rs
+++ b/crates/azuresaddle-standin/src/hosts/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-in of the host list, with a lag.
+//! Stand-in for the host list, whose changes become visible after a delay.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -14,13 +14,13 @@
 
 use crate::http_util::{bad_request, query_param, read_json};
 
-/// Longest body, in bytes.
+/// Maximum size of a request body, in bytes.
 const MAX_BODY_BYTES: usize = 64 << 10;
 
-/// Longest time for a body to arrive.
+/// Timeout for reading a request body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A running host list.
+/// A running stand-in host list.
 #[derive(Clone)]
 pub struct HostListServer {
     shared: Arc<Mutex<State>>,
@@ -29,15 +29,15 @@
 
 struct State {
     lag: Duration,
-    /// Lists with the time they came about, the newest last.
+    /// Lists with the time of the change that made them, newest last.
     history: VecDeque<(Instant, HostList)>,
 }
 
 impl HostListServer {
-    /// Binds and serves; changes show after `lag`.
+    /// Binds the address and starts to serve; changes become visible after `lag`.
     ///
     /// # Errors
-    /// Where the address can't be bound.
+    /// Returns an error if the address can't be bound.
     pub async fn bind<N: Network>(
         net: &N,
         addr: SocketAddr,
@@ -58,12 +58,12 @@
         Ok(list)
     }
 
-    /// Bound address.
+    /// Returns the bound address.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Adds a host, or replaces the one with its name.
+    /// Adds a host, or replaces the one with the same name.
     pub fn put(&self, host: Host) {
         lock(&self.shared).change(|hosts| {
             hosts.retain(|h| h.name != host.name);
@@ -76,7 +76,7 @@
         lock(&self.shared).change(|hosts| hosts.retain(|h| h.name != *name));
     }
 
-    /// Marks a host as leaving, or not.
+    /// Sets whether a host is leaving.
     pub fn set_leaving(&self, name: &HostName, leaving: bool) {
         lock(&self.shared).change(|hosts| {
             for host in hosts.iter_mut().filter(|h| h.name == *name) {
@@ -97,7 +97,7 @@
         self.history.push_back((Instant::now(), list));
     }
 
-    /// The list as it was a lag ago.
+    /// Returns the list that is visible at `now`: the newest one that is at least `lag` old.
     fn visible_list(&mut self, now: Instant) -> HostList {
         while self.history.len() > 1 && self.history[1].0 + self.lag <= now {
             self.history.pop_front();
--- a/crates/azuresaddle-standin/src/net/fabric.rs
+++ b/crates/azuresaddle-standin/src/net/fabric.rs
@@ -1,4 +1,4 @@
-//! What all hosts of an in-memory network share.
+//! State shared by all hosts of an in-memory network: listeners, connections and partitions.
 
 use std::collections::{HashMap, HashSet};
 use std::net::{IpAddr, SocketAddr};
@@ -10,10 +10,10 @@
 use super::memory::MemoryNetwork;
 use super::stream::{Link, MemoryStream};
 
-/// First port given to a listener that asks for any.
+/// First port assigned to a listener that binds port 0.
 const FIRST_FREE_PORT: u16 = 40_000;
 
-/// The wires between hosts, which can be cut or fall silent.
+/// An in-memory network whose hosts can be partitioned or whose connections can be silenced; cheap to clone.
 #[derive(Clone, Debug, Default)]
 pub struct Fabric {
     state: Arc<Mutex<State>>,
@@ -29,23 +29,23 @@
 }
 
 impl Fabric {
-    /// The network as the host with that address sees it.
+    /// Returns the network of the host with this address.
     pub fn host(&self, ip: IpAddr) -> MemoryNetwork {
         MemoryNetwork::new(self.clone(), ip)
     }
 
-    /// Cuts two hosts off from each other: open connections fall silent, new ones never open.
+    /// Partitions two hosts: open connections become silent, new ones never open.
     pub fn cut(&self, a: IpAddr, b: IpAddr) {
         self.lock().cuts.insert(pair(a, b));
         self.silence(a, b);
     }
 
-    /// Lets new connections between two hosts open again; silent ones stay silent.
+    /// Ends the partition of two hosts: new connections open again, silent ones stay silent.
     pub fn heal(&self, a: IpAddr, b: IpAddr) {
         self.lock().cuts.remove(&pair(a, b));
     }
 
-    /// Makes the open connections between two hosts go silent for good; new ones work.
+    /// Silences the open connections between two hosts for good; new ones work.
     pub fn silence(&self, a: IpAddr, b: IpAddr) {
         let mut state = self.lock();
         state.links.retain(|link| link.strong_count() > 0);
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Bytes written to all connections so far.
+    /// Returns the number of bytes written to all connections so far.
     pub fn bytes(&self) -> u64 {
         self.bytes.load(Ordering::Relaxed)
     }
@@ -83,7 +83,7 @@
         Some((addr, rx))
     }
 
-    /// Opens a connection; `None` where nothing listens.
+    /// Opens a connection; returns `None` if nothing listens at the address.
     pub(super) fn open(&self, from: IpAddr, to: SocketAddr) -> Option<MemoryStream> {
         let mut state = self.lock();
         let listener = state.listeners.get(&to)?.clone();
@@ -99,7 +99,7 @@
     }
 }
 
-/// The same pair for both directions.
+/// Returns the two addresses in ascending order, so that both directions have the same pair.
 fn pair(a: IpAddr, b: IpAddr) -> (IpAddr, IpAddr) {
     if a <= b { (a, b) } else { (b, a) }
 }
--- a/crates/azuresaddle-standin/src/net/memory.rs
+++ b/crates/azuresaddle-standin/src/net/memory.rs
@@ -1,4 +1,4 @@
-//! One host's view of an in-memory network.
+//! Network interface of one host of an in-memory network.
 
 use std::io;
 use std::net::{IpAddr, SocketAddr};
--- a/crates/azuresaddle-standin/src/net/mod.rs
+++ b/crates/azuresaddle-standin/src/net/mod.rs
@@ -1,4 +1,4 @@
-//! An in-memory network for tests on a paused clock.
+//! An in-memory network for tests with tokio's clock paused.
 
 mod fabric;
 mod memory;
--- a/crates/azuresaddle-standin/src/net/stream.rs
+++ b/crates/azuresaddle-standin/src/net/stream.rs
@@ -1,4 +1,4 @@
-//! A connection of an in-memory network.
+//! Connections of an in-memory network.
 
 use std::io;
 use std::net::IpAddr;
@@ -9,7 +9,7 @@
 
 use tokio::io::{AsyncRead, AsyncWrite, DuplexStream, ReadBuf};
 
-/// Bytes that a connection holds in each direction.
+/// Buffer size of a connection in each direction, in bytes.
 const BUFFER_BYTES: usize = 64 << 10;
 
 /// State that both ends of a connection share.
@@ -18,7 +18,7 @@
     pub(super) hosts: (IpAddr, IpAddr),
     silent: AtomicBool,
     readers: Mutex<Vec<Waker>>,
-    /// Bytes written on the whole network.
+    /// Number of bytes written on the whole network.
     bytes: Arc<AtomicU64>,
 }
 
@@ -32,7 +32,7 @@
         }
     }
 
-    /// From now on nothing arrives and nothing ends, in either direction.
+    /// Silences the connection in both directions: no more data and no end of file arrive.
     pub(super) fn silence(&self) {
         self.silent.store(true, Ordering::SeqCst);
     }
@@ -41,7 +41,7 @@
         self.silent.load(Ordering::SeqCst)
     }
 
-    /// Keeps a reader's waker, so that its task is not taken for lost.
+    /// Stores the waker of a pending read, which would otherwise be dropped and leave the task without a waker.
     fn park(&self, waker: &Waker) {
         let mut readers = self.readers.lock().unwrap_or_else(PoisonError::into_inner);
         if !readers.iter().any(|known| known.will_wake(waker)) {
@@ -53,7 +53,8 @@
 /// One end of a connection.
 #[derive(Debug)]
 pub struct MemoryStream {
-    /// Kept open by a silent link even when the other end is dropped.
+    /// Half of the pipe; leaked on drop if the link is silent, so that the other end sees no end of file.
+    /// `None` only during the drop.
     inner: Option<DuplexStream>,
     link: Arc<Link>,
 }
@@ -76,7 +77,7 @@
 impl Drop for MemoryStream {
     fn drop(&mut self) {
         if self.link.is_silent() {
-            // The other end must not see an end of file; the few bytes of the pipe are given up.
+            // The other end must not see an end of file; the memory of the pipe is leaked.
             std::mem::forget(self.inner.take());
         }
     }
@@ -103,7 +104,7 @@
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
         if self.link.is_silent() {
-            // Writes go into the void until the sender's own buffers would be full.
+            // Discards the data; a real sender does not notice either, until its buffers are full.
             return Poll::Ready(Ok(buf.len()));
         }
         let written = self.inner().poll_write(cx, buf);
--- a/crates/azuresaddle-standin/src/platform/caller.rs
+++ b/crates/azuresaddle-standin/src/platform/caller.rs
@@ -55,13 +55,13 @@
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum CallerError {
     /// No connection could be opened.
-    #[error("no connection")]
+    #[error("connection failed")]
     NoConnection,
     /// The connection ended before the answer was complete.
-    #[error("the answer broke off")]
+    #[error("connection closed before the answer was complete")]
     BrokenOff,
     /// No complete answer before the timeout.
-    #[error("no answer in time")]
+    #[error("timeout before the answer was complete")]
     Timeout,
     /// The answer does not belong to the request or is incomplete.
     #[error("wrong answer: {0}")]
--- a/crates/azuresaddle-standin/src/service/mod.rs
+++ b/crates/azuresaddle-standin/src/service/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-in of a plain service, which counts executions by request id and by request body.
+//! Stand-in for a plain service that counts executions by request id and by request body.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -13,21 +13,21 @@
 
 use crate::http_util::{bad_request, read_json};
 
-/// Longest body, in bytes.
+/// Maximum size of a request body, in bytes.
 const MAX_BODY_BYTES: usize = 1 << 20;
 
-/// Longest time for a body to arrive.
+/// Timeout for reading a request body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Faults in force; all off by default.
+/// Active faults; all off by default.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", default, deny_unknown_fields)]
 pub struct ServiceFaults {
-    /// The next calls that are executed but never answered.
+    /// Number of calls, from the next one on, that are executed but never answered.
     pub silent_after: u32,
-    /// The next calls that are neither executed nor answered.
+    /// Number of calls, from the next one on, that are neither executed nor answered.
     pub silent_before: u32,
-    /// Time that an execution takes, in milliseconds.
+    /// Duration of each execution, in milliseconds.
     pub delay_ms: u64,
 }
 
@@ -35,13 +35,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct CallDone {
-    /// The request's id.
+    /// Id of the request.
     pub id: String,
-    /// How often a request with this body was executed, this time included.
+    /// How often requests with this body have been executed, including this execution.
     pub executions: u64,
 }
 
-/// A running service.
+/// A running stand-in service.
 #[derive(Clone)]
 pub struct ServiceServer {
     state: Arc<Mutex<State>>,
@@ -50,18 +50,18 @@
 
 #[derive(Default)]
 struct State {
-    /// By request body, which a caller's own retry repeats.
+    /// Executions by request body, which is the same when a caller retries under a new request id.
     executions: HashMap<String, u64>,
-    /// By request id.
+    /// Executions by request id.
     by_id: HashMap<String, u64>,
     faults: ServiceFaults,
 }
 
 impl ServiceServer {
-    /// Binds and serves.
+    /// Binds the address and starts to serve.
     ///
     /// # Errors
-    /// Where the address can't be bound.
+    /// Returns an error if the address can't be bound.
     pub async fn bind<N: Network>(
         net: &N,
         addr: SocketAddr,
@@ -80,22 +80,22 @@
         Ok(service)
     }
 
-    /// Bound address.
+    /// Returns the bound address.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Replaces the faults in force.
+    /// Replaces the active faults.
     pub fn set_faults(&self, faults: ServiceFaults) {
         self.lock().faults = faults;
     }
 
-    /// Executions by request body.
+    /// Returns the number of executions by request body.
     pub fn executions(&self) -> HashMap<String, u64> {
         self.lock().executions.clone()
     }
 
-    /// Executions by request id.
+    /// Returns the number of executions by request id.
     pub fn executions_by_id(&self) -> HashMap<String, u64> {
         self.lock().by_id.clone()
     }
--- a/crates/azuresaddle-standin/src/soak/callers.rs
+++ b/crates/azuresaddle-standin/src/soak/callers.rs
@@ -1,4 +1,4 @@
-//! Callers that ask without pause and check every answer.
+//! Callers that send requests continuously and check every answer.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -17,20 +17,20 @@
 use crate::http_util::get_json;
 use crate::platform::{Caller, CallerError, CallerRequest, Runs};
 
-/// Time that callers wait for an answer.
+/// Time that callers wait for a complete answer.
 pub(super) const ANSWER_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// Time for which a caller keeps the addresses that it was told.
+/// Time for which a caller keeps the resolved node addresses.
 const KEEP_ADDRESSES: Duration = Duration::from_secs(2);
 
-/// What all callers share.
+/// State of one soak, shared by the callers, the fault injection and the checks.
 pub(super) struct SoakState {
     pub(super) runs: Runs,
     pub(super) directories: Vec<SocketAddr>,
     pub(super) report: Mutex<SoakReport>,
-    /// Requests that must not run, or not more than once, looked at once more at the end.
+    /// Attempts with the maximum number of times that each may run (0 or 1), checked at the end.
     pub(super) run_limits: Mutex<Vec<(String, u32)>>,
-    /// When something unplanned happened last; answers may break off for a while after.
+    /// Time of the latest fault that may lose answers; for a while after it, answers may be incomplete.
     pub(super) last_disruption: Mutex<Instant>,
     pub(super) attempts: AtomicU64,
     pub(super) stopped: CancellationToken,
@@ -50,7 +50,7 @@
             .count(end);
     }
 
-    /// Notes that something unplanned happens.
+    /// Records that a fault which may lose answers happens now.
     pub(super) fn note_disruption(&self) {
         *self
             .last_disruption
@@ -75,7 +75,7 @@
     }
 }
 
-/// Asks until it is stopped.
+/// Sends requests until the soak is stopped.
 pub(super) async fn run_caller(shared: Arc<SoakState>, seed: u64) {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut caller = Caller::default();
@@ -149,7 +149,7 @@
     }
 }
 
-/// Checks one answer against what is promised.
+/// Checks one answer against the guarantees of the nodes.
 pub(super) fn check_answer(
     shared: &SoakState,
     request: &CallerRequest,
@@ -160,7 +160,7 @@
     let run = shared.runs.of(&request.attempt);
     let what = |text: &str| format!("{text}: {request:?} {result:?} {run:?}");
     if run.has_key || run.account.as_deref().is_some_and(|a| a != "advisers") {
-        shared.report_violation(what("key or account"));
+        shared.report_violation(what("API key forwarded or wrong account"));
     }
     if is_once {
         shared.limit_runs(&request.attempt, 1);
@@ -176,10 +176,10 @@
                 shared.limit_runs(&request.attempt, 0);
             }
             if says_not_run && !answer.has_retry_after {
-                shared.report_violation(what("no time to come back"));
+                shared.report_violation(what("refusal without Retry-After"));
             }
             if answer.status.is_client_error() {
-                shared.report_violation(what("refused though proper"));
+                shared.report_violation(what("valid request rejected"));
             }
         }
         Err(CallerError::Wrong(_)) => shared.report_violation(what("wrong answer")),
@@ -187,7 +187,7 @@
             shared.count(&e.to_string());
             let may_break = shared.was_disrupted_since(began) || *e == CallerError::NoConnection;
             if !may_break {
-                shared.report_violation(what("answer lost with nothing disturbed"));
+                shared.report_violation(what("answer lost without a fault that may lose answers"));
             }
         }
     }
--- a/crates/azuresaddle-standin/src/soak/crashers.rs
+++ b/crates/azuresaddle-standin/src/soak/crashers.rs
@@ -1,4 +1,4 @@
-//! Callers whose request ends the targets that run it, and who send it again and again.
+//! Callers that repeatedly send a request which crashes every target that runs it.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -14,19 +14,19 @@
 use super::fleet::Fleet;
 use crate::platform::{Caller, CrashingRequests};
 
-/// Targets after whose end a request is known for what it does.
+/// Number of crashed targets after which a request is quarantined.
 const QUARANTINE_CRASHES: usize = 3;
 
-/// Time after that within which all nodes know.
+/// Time after that within which all nodes know of the quarantine.
 const PROPAGATION_TIME: Duration = Duration::from_secs(3);
 
-/// Most targets that it may reach later.
+/// Maximum number of targets that the request may reach later.
 const MAX_LATER_SENDS: usize = 3;
 
-/// Longest time until the first attempt, so that requests begin in the midst of other faults.
+/// Maximum delay of the first attempt, so that requests start while other faults are active.
 const MAX_START_DELAY: Duration = Duration::from_secs(3);
 
-/// Sends one request to random nodes until it is stopped.
+/// Sends the same request to random nodes until the soak is stopped.
 pub(super) async fn run_crasher(
     shared: Arc<SoakState>,
     crashing_requests: CrashingRequests,
@@ -55,7 +55,7 @@
     }
 }
 
-/// Looks whether requests that end their targets were kept from them.
+/// Checks that requests which crash their targets were quarantined.
 pub(super) fn check_crashes(fleet: &Fleet, shared: &SoakState) {
     for times in fleet.platform.crashing_requests.arrival_times() {
         let Some(third) = times.get(QUARANTINE_CRASHES - 1) else {
--- a/crates/azuresaddle-standin/src/soak/faults.rs
+++ b/crates/azuresaddle-standin/src/soak/faults.rs
@@ -1,4 +1,4 @@
-//! Faults from outside, one after the other and overlapping.
+//! Injects faults into nodes, targets and the store, one after the other and overlapping.
 
 use std::sync::PoisonError;
 use std::time::Duration;
@@ -13,13 +13,13 @@
 use super::signals::{Affected, SignalFault, begin_signals};
 use crate::platform::{StoreFault, StoreRollback, TargetFault};
 
-/// Longest time of a fault.
+/// Maximum duration of a fault.
 const MAX_FAULT_TIME: Duration = Duration::from_millis(1800);
 
-/// Longest time of a graceful stop: the grace of the settings and a little more.
+/// Maximum time of a graceful stop: the grace period in the nodes' settings plus a margin.
 const STOP_TIMEOUT: Duration = Duration::from_millis(4600);
 
-/// A fault.
+/// A fault with the number of the node or target that it affects.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
     Kill(usize),
@@ -31,38 +31,39 @@
     TargetCut(usize, ProxyMode),
     Target(usize, TargetFault),
     Configuration,
-    /// A target starts again under its name.
+    /// A target restarts under the same name.
     RestartTarget(usize),
     /// A target announces a signal with each answer.
     Signals(usize, SignalFault),
-    /// The store comes back from an older copy, once or twice in a row.
+    /// The store is rolled back to an older copy, once or twice in a row.
     StoreRollback(StoreRollback, usize),
 }
 
-/// Faults that only some soaks draw from.
+/// Additional kinds of faults, injected only if they are enabled.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FaultOptions {
-    /// Whether targets also start again under their names.
+    /// Whether targets are also restarted under the same names.
     pub has_restarts: bool,
-    /// Whether the store also comes back from older copies.
+    /// Whether the store is also rolled back to older copies.
     pub has_store_rollbacks: bool,
-    /// Whether targets also limit their rate, drain or ask to back off.
+    /// Whether targets also limit their rate, drain or ask nodes to back off.
     pub has_signals: bool,
 }
 
-/// Age of the oldest copy that the store comes back from.
+/// Maximum age of the copy to which the store is rolled back.
 const MAX_COPY_AGE: Duration = Duration::from_millis(5000);
 
-/// Longest time for which the store is away before it comes back from a copy.
+/// Maximum duration of the outage before a rollback of the store.
 const MAX_OUTAGE: Duration = Duration::from_millis(1500);
 
-/// Kinds of faults that every soak draws from; the kept seeds mean these.
+/// Number of fault kinds that every soak injects. The seeds recorded for earlier runs depend on it.
 const COMMON_FAULT_KINDS: u32 = 12;
 
-/// Times that signals are drawn as often as another kind: their time does not hold up the next fault.
+/// Weight of signals relative to another kind of fault; they may be frequent, as the next fault does not wait
+/// for their end.
 const SIGNAL_WEIGHT: u32 = 6;
 
-/// Draws a fault.
+/// Returns a random fault.
 fn random_fault(rng: &mut StdRng, fleet: &Fleet, options: FaultOptions) -> Fault {
     let node = rng.random_range(0..fleet.nodes.len());
     let target = rng.random_range(0..fleet.target_proxies.len());
@@ -113,7 +114,7 @@
     Fault::StoreRollback(how, rng.random_range(1..3))
 }
 
-/// Strikes once, and waits until the fault is over.
+/// Injects one random fault and waits until it is over; signals go on in the background.
 pub(super) async fn inject_fault(
     fleet: &mut Fleet,
     shared: &SoakState,
@@ -133,7 +134,7 @@
         Fault::Stop(n) => {
             fleet.nodes[n].signal(Signal::SIGTERM);
             if !fleet.nodes[n].wait_until_ended(STOP_TIMEOUT).await {
-                shared.report_violation(format!("node {n} did not end within its grace"));
+                shared.report_violation(format!("node {n} did not stop within its grace period"));
                 fleet.nodes[n].signal(Signal::SIGKILL);
             }
             restart_node(fleet, shared, n).await;
@@ -179,7 +180,7 @@
         }
         Fault::RestartTarget(n) => {
             if let Err(e) = fleet.restart_target(n).await {
-                shared.report_violation(format!("target {n} did not start again: {e}"));
+                shared.report_violation(format!("target {n} did not restart: {e}"));
             }
         }
     }
@@ -189,7 +190,7 @@
     }
 }
 
-/// Remembers what excuses a node from following signals.
+/// Records nodes and targets affected by a fault, which excuses requests that ignore a signal.
 fn record_affected(fleet: &Fleet, shared: &SoakState, fault: Fault) {
     match fault {
         Fault::Kill(n) | Fault::Stop(n) | Fault::Freeze(n) => {
@@ -210,7 +211,7 @@
     report.faults.push(format!("{fault:?} for {length:?}"));
 }
 
-/// Whether answers may be lost by it.
+/// Returns whether a fault may lose answers.
 fn may_lose_answers(fault: Fault) -> bool {
     !matches!(
         fault,
--- a/crates/azuresaddle-standin/src/soak/fleet.rs
+++ b/crates/azuresaddle-standin/src/soak/fleet.rs
@@ -1,4 +1,4 @@
-//! Node processes before a stand-in platform.
+//! Node processes on a stand-in platform.
 
 use std::net::Ipv4Addr;
 use std::path::{Path, PathBuf};
@@ -10,23 +10,24 @@
 use super::proxy::Proxy;
 use crate::platform::{PlatformOptions, StandInPlatform};
 
-/// First port of the first fleet of a process; each fleet takes ten more.
+/// First port of the range from which fleets take their ports.
 const FIRST_PORT: u16 = 20_000;
 
-/// Ports of a fleet.
+/// Number of ports of a fleet.
 const PORTS_PER_FLEET: u16 = 10;
 
-/// Ports among which processes spread, so that test processes beside each other don't meet.
+/// Size of the port range; each process starts at another place in it, so that concurrent test processes don't
+/// collide.
 const PORT_RANGE: u16 = 30_000;
 
 static FLEET_COUNT: AtomicU16 = AtomicU16::new(0);
 
-/// Sizes of a fleet.
+/// Size of a fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetOptions {
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: u8,
-    /// Targets.
+    /// Number of targets.
     pub platform: PlatformOptions,
 }
 
@@ -39,23 +40,23 @@
     }
 }
 
-/// Nodes, and the platform that they run on.
+/// Node processes and the stand-in platform that they run on.
 pub struct Fleet {
     /// The platform.
     pub platform: StandInPlatform,
     /// Nodes.
     pub nodes: Vec<NodeProcess>,
-    /// Before the store, one for each node.
+    /// Proxies in front of the store, one per node.
     pub store_proxies: Vec<Proxy>,
-    /// Before the targets: engines, then plain ones.
+    /// Proxies in front of the targets: engines first, then plain targets.
     pub target_proxies: Vec<Proxy>,
 }
 
 impl Fleet {
-    /// Starts a platform and its nodes, and waits until they are ready.
+    /// Starts a platform and its nodes, and waits until all nodes are ready.
     ///
     /// # Errors
-    /// Where something can't be started.
+    /// Returns an error if the platform, a proxy or a node can't be started, or a node is not ready in time.
     pub async fn open(program: &Path, dir: &Path, options: FleetOptions) -> Result<Self> {
         let mut platform = StandInPlatform::open(options.platform).await?;
         let mut target_proxies = Vec::new();
@@ -102,10 +103,10 @@
         })
     }
 
-    /// Ends a target, by its number among engines and then plain ones, and starts it again under its name.
+    /// Kills and restarts a target under the same name; `number` counts engines first, then plain targets.
     ///
     /// # Errors
-    /// Where its port can't be bound again.
+    /// Returns an error if its port can't be bound again.
     pub(super) async fn restart_target(&mut self, number: usize) -> std::io::Result<()> {
         let engines = self.platform.engines.len();
         if number < engines {
@@ -116,7 +117,7 @@
     }
 }
 
-/// First of ten ports that no other fleet of this process uses.
+/// Returns the first of ten ports that no other fleet of this process uses.
 pub(crate) fn next_port() -> u16 {
     let own = (std::process::id() as u16).wrapping_mul(7) % (PORT_RANGE / PORTS_PER_FLEET);
     let fleet = FLEET_COUNT.fetch_add(1, Ordering::Relaxed);
--- a/crates/azuresaddle-standin/src/soak/mod.rs
+++ b/crates/azuresaddle-standin/src/soak/mod.rs
@@ -1,4 +1,5 @@
-//! A randomized soak: real node processes, faults from outside, promises checked by callers.
+//! A randomized soak test: real node processes, injected faults, and callers that check the guarantees of the
+//! nodes.
 
 mod callers;
 mod crashers;
--- a/crates/azuresaddle-standin/src/soak/process.rs
+++ b/crates/azuresaddle-standin/src/soak/process.rs
@@ -1,4 +1,4 @@
-//! A node as a process of its own, with signals.
+//! A node in its own process, which can be restarted and sent signals.
 
 use std::fs::File;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -13,19 +13,19 @@
 
 use crate::http_util::{get_status, get_text};
 
-/// Longest time until a started node is ready.
+/// Maximum time until a started node is ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Time between two looks.
+/// Interval between two checks of the process.
 const POLL_INTERVAL: Duration = Duration::from_millis(30);
 
 /// A node process; killed when dropped.
 pub struct NodeProcess {
     /// Name of the node.
     pub name: String,
-    /// Address of its host.
+    /// Loopback address of the node.
     pub ip: Ipv4Addr,
-    /// First port.
+    /// First of the node's ports.
     pub port: u16,
     program: PathBuf,
     settings: PathBuf,
@@ -34,10 +34,10 @@
 }
 
 impl NodeProcess {
-    /// Starts a node by a settings file in `dir`.
+    /// Writes a settings file to `dir` and starts a node with it.
     ///
     /// # Errors
-    /// Where a file can't be written or the program can't be started.
+    /// Returns an error if a file can't be written or the program can't be started.
     pub fn spawn(
         program: &Path,
         dir: &Path,
@@ -60,16 +60,16 @@
         Ok(node)
     }
 
-    /// Starts the process again after it ended.
+    /// Starts the process, again after it has ended; appends to its log.
     ///
     /// # Errors
-    /// Where the program can't be started.
+    /// Returns an error if the log can't be opened or the program can't be started.
     pub fn start(&mut self) -> Result<()> {
         let log = File::options().create(true).append(true).open(&self.log)?;
         let child = Command::new(&self.program)
             .arg("serve")
             .env("AZURESADDLE_BOOT", &self.settings)
-            // Fleets of tests share addresses, so each process has a port of its own.
+            // Concurrent fleets use the same addresses, so the metrics port is unique to each fleet.
             .env("AZURESADDLE_METRICS_PORT", (self.port + 9).to_string())
             .stdin(Stdio::null())
             .stdout(log.try_clone()?)
@@ -80,66 +80,66 @@
         Ok(())
     }
 
-    /// Where callers connect.
+    /// Returns the address at which callers connect.
     pub fn callers_addr(&self) -> SocketAddr {
         SocketAddr::from((self.ip, self.port + 1))
     }
 
-    /// Where callers ask for addresses.
+    /// Returns the address at which callers resolve node addresses.
     pub fn directory_addr(&self) -> SocketAddr {
         SocketAddr::from((self.ip, self.port + 3))
     }
 
-    /// Text of the metrics; `None` where they are not served.
+    /// Fetches the text of the metrics page; `None` if it is not served.
     pub async fn metrics(&self) -> Option<String> {
         get_text(self.metrics_addr(), "/metrics").await
     }
 
-    /// Where the metrics are served.
+    /// Returns the address of the metrics page.
     pub fn metrics_addr(&self) -> SocketAddr {
         SocketAddr::from((self.ip, self.port + 9))
     }
 
-    /// Whether the node says that it is ready.
+    /// Returns whether the node reports that it is ready.
     pub async fn is_ready(&self) -> bool {
         let addr = SocketAddr::from((self.ip, self.port + 2));
         get_status(addr, "/readyz").await == Some(200)
     }
 
-    /// Waits until the node says that it is ready.
+    /// Waits until the node reports that it is ready.
     ///
     /// # Errors
-    /// Where it does not in time.
+    /// Returns an error if it is not ready in time.
     pub async fn wait_until_ready(&self) -> Result<()> {
         let until = Instant::now() + READY_TIMEOUT;
         while !self.is_ready().await {
             if Instant::now() >= until {
-                bail!("{} is not ready", self.name);
+                bail!("node {} is not ready in time", self.name);
             }
             tokio::time::sleep(POLL_INTERVAL).await;
         }
         Ok(())
     }
 
-    /// Sends a signal, if the process runs.
+    /// Sends a signal to the process if it is running.
     pub fn signal(&mut self, signal: Signal) {
         if let Some(child) = &mut self.child
             && matches!(child.try_wait(), Ok(None))
         {
             let pid = Pid::from_raw(child.id().cast_signed());
-            // It may have ended just now.
+            // The process may have ended just now.
             let _ = kill(pid, signal);
         }
     }
 
-    /// Whether the process runs.
+    /// Returns whether the process is running.
     pub fn is_running(&mut self) -> bool {
         self.child
             .as_mut()
             .is_some_and(|c| matches!(c.try_wait(), Ok(None)))
     }
 
-    /// Waits until the process has ended; false where it has not in time.
+    /// Waits until the process has ended; returns `false` if it is still running after `timeout`.
     pub async fn wait_until_ended(&mut self, timeout: Duration) -> bool {
         let until = Instant::now() + timeout;
         while self.is_running() {
@@ -151,12 +151,12 @@
         true
     }
 
-    /// Text of the log so far.
+    /// Returns the text of the log so far; empty if it can't be read.
     pub fn log_text(&self) -> String {
         std::fs::read_to_string(&self.log).unwrap_or_default()
     }
 
-    /// Path of the log.
+    /// Returns the path of the log.
     pub fn log_path(&self) -> &Path {
         &self.log
     }
@@ -165,7 +165,7 @@
 impl Drop for NodeProcess {
     fn drop(&mut self) {
         if let Some(child) = &mut self.child {
-            // It may have ended already.
+            // The process may have ended already.
             let _ = child.kill();
             let _ = child.wait();
         }
--- a/crates/azuresaddle-standin/src/soak/proxy.rs
+++ b/crates/azuresaddle-standin/src/soak/proxy.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy that delays, cuts or silences what passes.
+//! A loopback TCP proxy that delays, drops or resets traffic.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -8,34 +8,34 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// Bytes that are passed on at a time.
+/// Maximum number of bytes forwarded at a time.
 const CHUNK_BYTES: usize = 16 << 10;
 
-/// Time between two looks whether something listens upstream again.
+/// Interval between two checks whether the upstream listens again.
 const UPSTREAM_POLL: Duration = Duration::from_millis(20);
 
-/// Time for which a proxy whose upstream has ended takes no connection while the ones that it has still stand, as
-/// the port of a process that ends is closed when its connections break.
+/// Time between closing the listener of a proxy whose upstream has ended and breaking a connection. When the
+/// connections of a process that ends break, its port is closed already.
 const CLOSE_DELAY: Duration = Duration::from_millis(10);
 
-/// What the proxy does.
+/// Behaviour of the proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProxyMode {
-    /// Passes everything on.
+    /// Forwards everything.
     Pass,
-    /// Passes everything on later.
+    /// Forwards everything with this delay.
     Delay(Duration),
-    /// Passes nothing on, either way.
+    /// Forwards nothing in either direction.
     Silent,
-    /// Passes requests on, but no answers.
+    /// Forwards requests, but no answers.
     SilentAnswers,
-    /// Breaks all connections and takes no new ones.
+    /// Breaks all connections, and each new one at once.
     Reset,
 }
 
 /// A running proxy.
 pub struct Proxy {
-    /// Where it listens.
+    /// Address that it listens on.
     pub addr: SocketAddr,
     mode: watch::Sender<ProxyMode>,
 }
@@ -44,7 +44,7 @@
     /// Starts a proxy to `upstream`.
     ///
     /// # Errors
-    /// Where no port is free.
+    /// Returns an error if no port is free.
     pub async fn spawn(upstream: SocketAddr) -> std::io::Result<Self> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
         let addr = listener.local_addr()?;
@@ -53,13 +53,13 @@
         Ok(Self { addr, mode })
     }
 
-    /// Changes what the proxy does, for open connections too.
+    /// Changes the behaviour, for open connections too.
     pub fn set_mode(&self, mode: ProxyMode) {
         self.mode.send_replace(mode);
     }
 }
 
-/// Takes connections while something listens upstream, and refuses them while nothing does.
+/// Accepts connections until the upstream has ended, and refuses them until it listens again.
 async fn accept(
     mut listener: TcpListener,
     upstream: SocketAddr,
@@ -77,7 +77,7 @@
                 tokio::spawn(serve(stream, upstream, modes.clone(), is_open.clone()));
                 continue;
             }
-            // The sender lives here.
+            // The wait can't fail: `is_open` is the sender and lives as long as this function.
             _ = opened.wait_for(|open| !*open) => {}
         }
         drop(listener);
@@ -92,7 +92,7 @@
     }
 }
 
-/// Serves one connection; closes the proxy first where the upstream has ended under it.
+/// Serves one connection; if the upstream has ended, closes the listener before the connection breaks.
 async fn serve(
     mut stream: TcpStream,
     upstream: SocketAddr,
@@ -113,7 +113,7 @@
     let Ok(mut target) = TcpStream::connect(upstream).await else {
         return;
     };
-    // An unset option only delays bytes.
+    // Without this option, bytes are only delayed.
     let _ = stream.set_nodelay(true);
     let _ = target.set_nodelay(true);
     let (from_caller, to_caller) = stream.split();
@@ -127,7 +127,7 @@
     }
 }
 
-/// Passes one direction on until it ends.
+/// Forwards one direction until it ends.
 async fn pass(
     mut from: ReadHalf<'_>,
     mut to: WriteHalf<'_>,
@@ -143,7 +143,7 @@
         let is_silent =
             mode == ProxyMode::Silent || (mode == ProxyMode::SilentAnswers && is_answer);
         if is_silent {
-            // A connection that lost bytes stays silent for good.
+            // Bytes are lost, so the connection can't continue and stays silent for good.
             return std::future::pending().await;
         }
         if let ProxyMode::Delay(by) = mode {
--- a/crates/azuresaddle-standin/src/soak/report.rs
+++ b/crates/azuresaddle-standin/src/soak/report.rs
@@ -1,28 +1,28 @@
-//! What a soak found.
+//! Results of a soak.
 
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Counts of a soak, and every promise that was broken.
+/// Counts of a soak and every violated guarantee.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SoakReport {
     /// Seed of the faults.
     pub seed: u64,
-    /// Requests by how they ended.
+    /// Number of requests by status or failure, and of other events by name.
     pub ends: BTreeMap<String, u64>,
-    /// Faults in their order.
+    /// Injected faults, in order.
     pub faults: Vec<String>,
-    /// Broken promises.
+    /// Violated guarantees.
     pub violations: Vec<String>,
 }
 
 impl SoakReport {
-    /// Counts a request.
+    /// Counts a request or another event.
     pub(super) fn count(&mut self, end: &str) {
         *self.ends.entry(end.to_owned()).or_default() += 1;
     }
 
-    /// Whether every promise was kept.
+    /// Returns whether no guarantee was violated.
     pub fn passed(&self) -> bool {
         self.violations.is_empty()
     }
--- a/crates/azuresaddle-standin/src/soak/run.rs
+++ b/crates/azuresaddle-standin/src/soak/run.rs
@@ -1,4 +1,4 @@
-//! Runs a soak.
+//! Runs a soak and its final checks.
 
 use std::path::PathBuf;
 use std::sync::atomic::AtomicU64;
@@ -20,37 +20,37 @@
 use super::signals::{SignalLog, end_signals};
 use crate::platform::{Caller, CallerRequest};
 
-/// Time for the last answers and the release of memory after the callers stopped.
+/// Time after the callers have stopped within which the last requests end and release their memory.
 const SETTLE_TIME: Duration = Duration::from_millis(4500);
 
-/// Time in which a configuration must be in force on every node.
+/// Maximum time until a configuration is in effect on every node.
 const APPLY_TIME: Duration = Duration::from_millis(2000);
 
-/// How a soak runs.
+/// Options of a soak.
 #[derive(Clone, Debug)]
 pub struct SoakOptions {
-    /// The program of the nodes.
+    /// Path of the node program.
     pub program: PathBuf,
-    /// Directory for settings and logs.
+    /// Directory for the settings and logs of the nodes.
     pub dir: PathBuf,
-    /// Seed of callers and faults.
+    /// Seed of the callers and the faults.
     pub seed: u64,
-    /// Callers.
+    /// Number of callers.
     pub callers: u64,
-    /// Time of the faults.
+    /// Time for which faults are injected.
     pub length: Duration,
-    /// Sizes.
+    /// Number of nodes and targets.
     pub fleet: FleetOptions,
-    /// Faults beside the usual ones.
+    /// Additional kinds of faults.
     pub faults: FaultOptions,
-    /// Callers that send a request again and again which ends the targets that run it.
+    /// Number of callers that repeatedly send a request which crashes every target that runs it.
     pub crashers: u64,
 }
 
-/// Runs callers and faults, then looks whether everything is well again.
+/// Runs callers under injected faults, then checks that all nodes have recovered.
 ///
 /// # Errors
-/// Where the processes can't be started.
+/// Returns an error if the directory can't be created or the fleet can't be started.
 pub async fn run_soak(options: &SoakOptions) -> Result<SoakReport> {
     std::fs::create_dir_all(&options.dir)?;
     let mut fleet = Fleet::open(&options.program, &options.dir, options.fleet).await?;
@@ -81,13 +81,13 @@
         inject_fault(&mut fleet, &shared, &mut rng, options.faults).await;
         end_signals(&mut fleet, &shared).await;
         if let Err(e) = fleet.platform.restart_ended().await {
-            shared.report_violation(format!("a target did not start again: {e}"));
+            shared.report_violation(format!("a target did not restart: {e}"));
         }
     }
     shared.stopped.cancel();
     for caller in callers {
         if let Err(e) = caller.await {
-            shared.report_violation(format!("a caller failed: {e}"));
+            shared.report_violation(format!("a caller panicked: {e}"));
         }
     }
     check_end(&mut fleet, &shared).await;
@@ -97,7 +97,8 @@
     Ok(report.clone())
 }
 
-/// Looks whether a change is in force everywhere, every node serves, and nothing is left over.
+/// Checks that a configuration change is in effect on every node, that every node serves requests, that no
+/// memory is still reserved, and that no attempt ran more often than allowed.
 async fn check_end(fleet: &mut Fleet, shared: &SoakState) {
     tokio::time::sleep(SETTLE_TIME).await;
     fleet
@@ -143,7 +144,7 @@
         let run = shared.runs.of(attempt);
         if run.count > *most {
             shared.report_violation(format!(
-                "{attempt} ran {} times, promised {most}",
+                "{attempt} ran {} times, at most {most} allowed",
                 run.count
             ));
         }
--- a/crates/azuresaddle-standin/src/soak/signal_checks.rs
+++ b/crates/azuresaddle-standin/src/soak/signal_checks.rs
@@ -11,19 +11,19 @@
 use crate::platform::ArrivedRequest;
 use crate::rate_limit_check::{ADJUSTMENT_TIME, max_requests_in_window, peak_requests_in_window};
 
-/// Time after which a node that has relayed a signal follows it.
+/// Time after which a node must follow a rate limit that it has relayed, or a back-off that it received.
 const RELAY_DELAY: Duration = Duration::from_millis(500);
 
-/// Time after which a draining target gets no more requests.
+/// Time after a node has relayed that a target drains, after which it must send no more requests there.
 const DRAIN_GRACE: Duration = Duration::from_secs(2);
 
-/// Most requests of a node that may reach a target during its back-off.
+/// Maximum number of requests of one node that may reach a target during its back-off.
 const MAX_IN_BACK_OFF: usize = 2;
 
-/// Time after a fault for which it still excuses a request.
+/// Time for which a fault of the link to a target still excuses requests.
 const FAULT_GRACE: Duration = Duration::from_secs(3);
 
-/// Checks whether targets got more requests than their signals allow.
+/// Checks that no target received more requests than its signals allow.
 pub(super) fn check_signals(shared: &SoakState) {
     let log = shared.signals.lock();
     for announcement in &log.announcements {
@@ -65,9 +65,9 @@
         })
         .map(|a| a.at - announcement.began)
         .collect();
-    let most = peak_requests_in_window(&counted);
-    let allowed = max_requests_in_window(rate);
-    (most > allowed).then(|| format!("{most} requests in 4 s of {allowed}"))
+    let most = most_in_a_span(&counted);
+    let allowed = allowed(rate);
+    (most > allowed).then(|| format!("{most} requests in 4 s, {allowed} allowed"))
 }
 
 fn check_draining(
@@ -80,7 +80,7 @@
         relayed.is_some_and(|at| at + DRAIN_GRACE < a.at && !is_excused(log, announcement, a, at))
     });
     let late = late.count();
-    (late > 0).then(|| format!("{late} requests after the drain time"))
+    (late > 0).then(|| format!("{late} requests after the drain grace period"))
 }
 
 fn check_back_off(
@@ -99,10 +99,10 @@
         Some(in_back_off.count())
     });
     let most = most.max().unwrap_or(0);
-    (most > MAX_IN_BACK_OFF).then(|| format!("{most} requests of one node in a pause"))
+    (most > MAX_IN_BACK_OFF).then(|| format!("{most} requests of one node during a back-off"))
 }
 
-/// When the node that sent a request had first relayed a signal, while the target announced it.
+/// Returns when the node that sent a request first relayed the matching signal of this announcement.
 fn first_relayed(
     log: &SignalRecords,
     announcement: &Announcement,
@@ -116,7 +116,8 @@
     relayed.map(|t| t.at).min()
 }
 
-/// Whether the node was stopped or frozen since it relayed the signal, or its link to the target was disturbed.
+/// Returns whether a request is excused: the node was stopped or frozen after it relayed the signal, or a fault
+/// affected the link to the target.
 fn is_excused(
     log: &SignalRecords,
     announcement: &Announcement,
--- a/crates/azuresaddle-standin/src/soak/signals.rs
+++ b/crates/azuresaddle-standin/src/soak/signals.rs
@@ -1,4 +1,4 @@
-//! Targets that limit their rate, drain, or ask to back off, and which nodes have relayed it.
+//! Makes targets limit their rate, drain or ask to back off, and records which nodes relayed these signals.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -14,14 +14,14 @@
 use super::fleet::Fleet;
 use crate::platform::{Answer, CallerError, CallerRequest, Signals, TargetHandle};
 
-/// Signals that a target announces for a while.
+/// A signal that a target announces for a while.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum SignalFault {
     /// A rate limit, in requests per second.
     Limit(f64),
-    /// It drains, then starts again under its name.
+    /// The target drains, then restarts under the same name.
     Drains,
-    /// It rejects requests with a back-off of that time.
+    /// The target rejects requests with a back-off of this time.
     BacksOff(Duration),
 }
 
@@ -34,7 +34,8 @@
         }
     }
 
-    /// Time for which the target announces it; a limit counts only after some seconds.
+    /// Time for which the target announces the signal; longer for a limit, as it is checked only after some
+    /// seconds.
     fn length(self) -> Duration {
         match self {
             Self::Limit(_) => Duration::from_secs(9),
@@ -53,16 +54,16 @@
     }
 }
 
-/// A target that announces a signal.
+/// A signal that a target announces.
 #[derive(Clone)]
 pub(super) struct Announcement {
     /// Number of the target in the fleet.
     pub(super) number: usize,
-    /// The start that announces it.
+    /// The target that announces it, up to its next restart.
     pub(super) target: TargetHandle,
     pub(super) fault: SignalFault,
     pub(super) began: Instant,
-    /// When it ended; `None` until then.
+    /// Time at which it ended; `None` until then.
     pub(super) ended: Option<Instant>,
 }
 
@@ -75,14 +76,14 @@
     pub(super) signals: TargetSignals,
 }
 
-/// What was struck by a fault.
+/// The node or target affected by a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Affected {
     Node(SocketAddr),
     Target(usize),
 }
 
-/// All that the checks at the end need.
+/// Events of a soak that the final checks of the signals need.
 #[derive(Default)]
 pub(super) struct SignalLog(Mutex<SignalRecords>);
 
@@ -104,7 +105,7 @@
         let Ok(answer) = result else {
             return;
         };
-        // The signature begins with the target's name.
+        // The signature begins with the target's id.
         let target = answer
             .signature
             .as_deref()
@@ -129,7 +130,7 @@
     }
 }
 
-/// Makes a target announce a signal, unless it announces one already.
+/// Makes a target announce a signal, unless it already announces one.
 pub(super) fn begin_signals(fleet: &Fleet, shared: &SoakState, number: usize, fault: SignalFault) {
     let target = target_of(fleet, number);
     let mut log = shared.signals.lock();
@@ -150,7 +151,7 @@
     });
 }
 
-/// Ends signals whose time is over; draining targets start again.
+/// Ends signals whose time is over or whose target has stopped; restarts targets that drained.
 pub(super) async fn end_signals(fleet: &mut Fleet, shared: &SoakState) {
     let now = Instant::now();
     let mut drained = Vec::new();
@@ -169,7 +170,7 @@
     for number in drained {
         shared.note_disruption();
         if let Err(e) = fleet.restart_target(number).await {
-            shared.report_violation(format!("target {number} did not start again: {e}"));
+            shared.report_violation(format!("target {number} did not restart: {e}"));
         }
     }
 }
--- a/crates/azuresaddle-standin/src/store/mod.rs
+++ b/crates/azuresaddle-standin/src/store/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-in of the key-value service.
+//! Stand-in for the key-value store.
 
 mod faults;
 mod model;
--- a/crates/azuresaddle-standin/src/store/model.rs
+++ b/crates/azuresaddle-standin/src/store/model.rs
@@ -1,4 +1,4 @@
-//! State of the store.
+//! State of the stand-in store, independent of its HTTP interface.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::Instant;
 
-/// Calls by kind; a waiting watch counts once.
+/// Number of calls by kind; a watch counts once, however long it waits.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct CallCounts {
@@ -21,14 +21,14 @@
     pub watches: u64,
 }
 
-/// Keys, leases and the order of changes.
+/// State of the store: keys with the revisions of their latest changes, and leases.
 #[derive(Debug, Default)]
 pub struct StoreModel {
     keys: BTreeMap<String, Stored>,
     leases: HashMap<LeaseId, Lease>,
     revision: Revision,
     next_lease: u64,
-    /// Calls so far.
+    /// Number of calls so far.
     pub counts: CallCounts,
 }
 
@@ -60,10 +60,10 @@
         })
     }
 
-    /// Writes a key if it has the expected version.
+    /// Writes a key if it has the expected version; a missing key has version 0.
     ///
     /// # Errors
-    /// The present entry, where the version is another.
+    /// Returns the current entry if the key has another version.
     pub fn compare_and_swap(
         &mut self,
         key: &str,
@@ -96,7 +96,7 @@
         id
     }
 
-    /// Renews a lease; false where it has lapsed.
+    /// Renews a lease; returns `false` if it has expired.
     pub fn renew(&mut self, now: Instant, id: LeaseId) -> bool {
         self.counts.lease_writes += 1;
         match self.leases.get_mut(&id) {
@@ -111,13 +111,13 @@
         }
     }
 
-    /// Whether a lease runs.
+    /// Returns whether a lease has not expired.
     pub fn is_alive(&mut self, now: Instant, id: LeaseId) -> bool {
         self.counts.reads += 1;
         self.leases.get(&id).is_some_and(|lease| now < lease.until)
     }
 
-    /// Keys with a prefix that changed after a revision.
+    /// Returns the entries with a prefix that changed after a revision.
     pub fn changes(&self, prefix: &str, after: Revision) -> Changes {
         let changed = self
             .keys
@@ -127,7 +127,7 @@
             .filter_map(|(key, _)| self.entry(key));
         Changes {
             entries: changed.collect(),
-            // Revision 0 asks for everything, so an untouched store must not answer with it.
+            // A watch after revision 0 returns all entries at once, so an empty store must not report that revision.
             revision: Revision(self.revision.0.max(1)),
         }
     }
--- a/crates/azuresaddle-standin/src/store/server.rs
+++ b/crates/azuresaddle-standin/src/store/server.rs
@@ -1,4 +1,4 @@
-//! The store's HTTP interface; see [`azuresaddle_store::wire`].
+//! HTTP interface of the stand-in store; see [`azuresaddle_store::wire`].
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -20,16 +20,16 @@
 use super::model::{CallCounts, StoreModel};
 use crate::http_util::{bad_request, query_param};
 
-/// Largest value, in bytes, and some room for its wrapping.
+/// Maximum size of a request body, in bytes: the largest value and some space for the JSON around it.
 const MAX_BODY_BYTES: usize = (1 << 20) + 4096;
 
-/// Longest time for a body to arrive.
+/// Timeout for reading a request body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Longest wait that a watch may ask for.
+/// Maximum time that a watch waits for a change.
 const MAX_WATCH_WAIT: Duration = Duration::from_secs(60);
 
-/// A running store.
+/// A running stand-in store.
 #[derive(Clone)]
 pub struct StoreServer {
     shared: Arc<Shared>,
@@ -43,10 +43,10 @@
 }
 
 impl StoreServer {
-    /// Binds and serves.
+    /// Binds the address and starts to serve.
     ///
     /// # Errors
-    /// Where the address can't be bound.
+    /// Returns an error if the address can't be bound.
     pub async fn bind<N: Network>(
         net: &N,
         addr: SocketAddr,
@@ -66,22 +66,22 @@
         Ok(Self { shared, addr })
     }
 
-    /// Bound address.
+    /// Returns the bound address.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Replaces the faults in force.
+    /// Replaces the active faults.
     pub fn set_faults(&self, faults: StoreFaults) {
         *self.shared.faults() = faults;
     }
 
-    /// The faults in force.
+    /// Returns the active faults.
     pub fn faults(&self) -> StoreFaults {
         *self.shared.faults()
     }
 
-    /// Calls so far.
+    /// Returns the number of calls so far, by kind.
     pub fn counts(&self) -> CallCounts {
         self.shared.model().counts
     }
@@ -96,7 +96,7 @@
         self.faults.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes one from a count of faults; true where there was one.
+    /// Decrements a fault counter; returns `true` if it was above zero.
     fn take_fault(&self, count: impl FnOnce(&mut StoreFaults) -> &mut u32) -> bool {
         let mut faults = self.faults();
         let count = count(&mut faults);
