--- a/tests/testsuite/bad_input.rs
+++ b/tests/testsuite/bad_input.rs
@@ -1,4 +1,4 @@
-//! Bad input gets a clear error and does not run.
+//! Invalid requests get a clear error and are not executed.
 
 use std::time::Duration;
 
@@ -94,7 +94,7 @@
     assert_eq!(executions, 0, "nothing ran");
 }
 
-/// Sends raw bytes to a node and reads what comes until the connection ends.
+/// Sends raw bytes to a node and reads until the connection closes.
 async fn send_raw(cluster: &Cluster<MemoryHosts>, bytes: &[u8]) -> String {
     let (net, _) = cluster.networks.host_network("caller");
     let mut stream = net.connect(cluster.seeds()[0]).await.expect("connects");
--- a/tests/testsuite/ci.rs
+++ b/tests/testsuite/ci.rs
@@ -1,9 +1,9 @@
-//! The list of known failures that CI passes over.
+//! The list of known test failures that CI tolerates (`KNOWN-RED.txt`) and the program that reads it.
 
 use std::path::Path;
 use std::process::{Command, Output};
 
-/// Runs the reader of the list on a text.
+/// Writes `text` to a file and runs `.ci/known-red`, the program that reads the list, on it.
 fn known_red(name: &str, text: &str) -> Output {
     let dir = std::env::temp_dir().join(format!("azuresaddle-{}-ci", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
@@ -13,7 +13,8 @@
     Command::new(reader).arg(list).output().unwrap()
 }
 
-/// Cut at its first colon an entry for one test of a module passed over all tests of that module.
+/// When an entry was cut at its first colon, `platform::x::test` became `platform` and excused every test of that
+/// module.
 #[test]
 fn an_entry_names_exactly_one_test() {
     let list = "# comment\n\nplatform::repeats::a_test: cargo test, seed 3: seen 4 of 5: issue 1\nplain: x";
--- a/tests/testsuite/command_line.rs
+++ b/tests/testsuite/command_line.rs
@@ -1,4 +1,4 @@
-//! The command line: help, checked settings, exit codes.
+//! The command line: help, validation of settings, exit codes.
 
 use std::process::{Command, Output};
 
--- a/tests/testsuite/days.rs
+++ b/tests/testsuite/days.rs
@@ -1,14 +1,15 @@
-//! The day files in `deploy/days/`: each states a load or a fault pattern that a decision answers.
+//! The day files in `deploy/days/`. A day is a schedule of load and faults; each file states a pattern that a design
+//! decision addresses.
 
 use std::collections::BTreeSet;
 use std::path::PathBuf;
 
 use serde::Deserialize;
 
-/// Placeholders for a deployment's own names.
+/// Placeholders that stand for the names of a deployment.
 const PLACEHOLDERS: [&str; 6] = ["@c0", "@c1", "@c2", "@s0", "@s1", "@z0"];
 
-/// Disruptions and planned work that a day may hold.
+/// Kinds of disruptions and planned work that a day may contain.
 const KINDS: [&str; 33] = [
     "burst",
     "hot_key",
@@ -45,10 +46,10 @@
     "poison",
 ];
 
-/// The day that the users handed over as it stands, and the one name of their deployment in it.
+/// The one day that is kept unchanged as its users supplied it, and the only service name of their deployment in it.
 const NAMED_SERVICE_EXCEPTION: (&str, &str) = ("deadly", "visit-summary");
 
-/// A list of days, or one day alone.
+/// A day file: a list of days, or a single day.
 #[derive(Deserialize)]
 #[serde(untagged)]
 enum File {
--- a/tests/testsuite/losses.rs
+++ b/tests/testsuite/losses.rs
@@ -1,8 +1,8 @@
-//! The account of losses: what the logs of all nodes say of each request.
+//! The loss report: what the logs of all nodes say about each request.
 
 use azuresaddle_core::losses::{LossReport, Reason};
 
-/// A line of a node about a request that arrived `arrived_ms` after the first second of a day.
+/// A log line of a node about a request that arrived `arrived_ms` after the start of the log.
 fn log_line(request: &str, message: &str, arrived_ms: u64, age_ms: u64, more: &str) -> String {
     let at = arrived_ms + age_ms;
     let (seconds, ms) = (at / 1000, at % 1000);
@@ -13,7 +13,7 @@
     .replace('\n', "")
 }
 
-/// A stream that ended, with what its relay logs of it.
+/// The log line of a stream that ended, with the fields that its relay logs.
 fn stream_log_line(request: &str, message: &str, first: u64, pause: u64, more: &str) -> String {
     let fields = format!(
         r#","route":"r","prompt_tokens":1000,"first_event_ms":{first},"target_ms":300,
@@ -73,7 +73,7 @@
     assert_eq!(reason_of(&[refused(500)]), Reason::RefusedLater);
     let left = log_line("1", "caller left", 0, 90, "");
     assert_eq!(reason_of(&[placed, left.clone()]), Reason::CallerLeft);
-    // A caller that closes after its whole answer has not left.
+    // A caller that closes the connection after a complete answer has not left.
     assert_eq!(reason_of(&[complete(120, 60, ""), left]), Reason::OnTime);
 }
 
@@ -87,7 +87,7 @@
     lines.push(line("large", 41_000));
     lines.push(line("odd", 1000));
     let report = LossReport::new(lines.iter().map(String::as_str), |_| 2.0);
-    // The mean is 3,000: small ones are worth 0.3 + 0.7 / 3, the large one is bounded.
+    // The mean prompt has 3,000 tokens: small prompts are worth 0.3 + 0.7 / 3, the large one is capped.
     let expected = 2.0 * (19.0 * (0.3 + 0.7 / 3.0) + 4.0);
     let rows = report.rows();
     assert!((rows[0].worth - expected).abs() < 1e-6, "{rows:?}");
@@ -105,7 +105,7 @@
     let lines = [
         "not JSON {".to_owned(),
         r#"{"message":"started","part":"node"}"#.to_owned(),
-        // A collector's own time may stand before the object.
+        // A log collector may put its own timestamp before the JSON object.
         format!("  0.2 n1 {}", plain("a", 200, 20)),
         plain("b", 900, 400),
         plain("c", 2_300, 10),
--- a/tests/testsuite/main.rs
+++ b/tests/testsuite/main.rs
@@ -1,4 +1,4 @@
-//! Integration tests, one module a subject.
+//! Integration tests, one module per subject.
 
 mod bad_input;
 mod ci;
--- a/tests/testsuite/operators.rs
+++ b/tests/testsuite/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' interface.
+//! The HTTP interface for operators (`/admin/v1`).
 
 use std::time::Duration;
 
@@ -110,7 +110,7 @@
     }
 }
 
-/// Seven whole answers and three that can't be whole by their deadline, over two nodes.
+/// Seven requests are answered completely and three cannot complete by their deadline, spread over two nodes.
 #[tokio::test(start_paused = true)]
 async fn burn_counts_each_missed_deadline_of_all_nodes_once() {
     let cluster = cluster(2).await;
--- a/tests/testsuite/platform/burn.rs
+++ b/tests/testsuite/platform/burn.rs
@@ -1,4 +1,4 @@
-//! Service-level burn of the platform's requests, by the command line.
+//! The `burn` command: counts of the platform's requests that missed their service level.
 
 use std::process::Command;
 
--- a/tests/testsuite/platform/configuration.rs
+++ b/tests/testsuite/platform/configuration.rs
@@ -1,4 +1,4 @@
-//! Configurations and keys: in force in time, never back, also without the store.
+//! Configurations and keys take effect in time and never revert, even without the store.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 
 use super::support::{fleet, plain, status};
 
-/// Time in which a change must be in force.
+/// Time within which a change must be in effect on all nodes.
 const APPLY_TIME: Duration = Duration::from_millis(1800);
 
 #[tokio::test(flavor = "multi_thread")]
@@ -49,7 +49,7 @@
         .change_configuration(|c| c.routes.retain(|r| r.prefix != "/post/"));
     tokio::time::sleep(APPLY_TIME).await;
     assert_eq!(status(&fleet.nodes[0], &plain("/post/1")).await, 404);
-    // The one with the route comes back under an older version, then something unreadable.
+    // Writes the configuration with the route under an older version, then an unreadable one.
     fleet.world.configuration.version = 2;
     fleet.world.write_configuration();
     fleet.world.store.put("op/config", "{\"version\":99}{");
--- a/tests/testsuite/platform/diagnostics.rs
+++ b/tests/testsuite/platform/diagnostics.rs
@@ -1,4 +1,5 @@
-//! From a failed request's id to its cause, by the logs alone.
+//! What operators can diagnose: the cause of a failed request from the logs alone, metrics, and the commands that check
+//! files.
 
 use std::path::Path;
 use std::time::Duration;
@@ -7,7 +8,7 @@
 
 use super::support::{ask, fleet, plain, program, status, stream, trace};
 
-/// The log is written by a thread of its own.
+/// Waits until log lines are in the file; a separate thread writes them.
 async fn wait_for_log_writer() {
     tokio::time::sleep(Duration::from_millis(300)).await;
 }
--- a/tests/testsuite/platform/drains.rs
+++ b/tests/testsuite/platform/drains.rs
@@ -1,4 +1,4 @@
-//! Targets that leave and nodes that stop.
+//! Targets that drain and nodes that stop or are killed.
 
 use std::time::Duration;
 
@@ -38,10 +38,10 @@
     let stopped_at = Instant::now();
     fleet.nodes[0].signal(Signal::SIGTERM);
     tokio::time::sleep(Duration::from_millis(300)).await;
-    // Callers are sent elsewhere at once, and the platform sees that the node leaves.
+    // The node reports at once that it is not ready, so the platform sends callers to the other node.
     assert!(!fleet.nodes[0].is_ready().await);
     assert!(fleet.nodes[1].is_ready().await);
-    // Callers that hold the address still get answers.
+    // Callers that still use its address get answers.
     assert_eq!(status(&fleet.nodes[0], &plain("/note/1")).await, 200);
     for answer in answers {
         assert_eq!(answer.await.unwrap().unwrap().status, 200);
@@ -61,7 +61,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_killed_owner_is_replaced_while_streams_arrive() {
     let mut fleet = fleet("owner", 3).await;
-    // The oldest node places streams; which one that is stands in the logs.
+    // The oldest node owns the placement of streams; the logs say which node that is.
     let owner = (0..3)
         .find(|n| fleet.nodes[*n].log_text().contains("owner now"))
         .unwrap_or(0);
--- a/tests/testsuite/platform/end_to_end.rs
+++ b/tests/testsuite/platform/end_to_end.rs
@@ -1,4 +1,4 @@
-//! A request's way from end to end.
+//! Requests from caller to target and back.
 
 use std::time::Duration;
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// The store answers slowly, so the port is open well before the configuration is known.
+/// The store answers slowly, so the node accepts connections well before it knows the configuration.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_to_a_node_that_has_just_started_waits_for_its_configuration() {
     let mut fleet = fleet("starting", 1).await;
--- a/tests/testsuite/platform/faults.rs
+++ b/tests/testsuite/platform/faults.rs
@@ -1,4 +1,5 @@
-//! Targets that misbehave: at most once, whole answers, true refusals.
+//! Targets that misbehave: requests still run at most once where required, answers are complete, and refused requests
+//! have not run.
 
 use std::time::Duration;
 
@@ -7,8 +8,8 @@
 
 use super::support::{ask, fleet, plain, status, stream};
 
-/// The first of two plain targets loses answers until its breaker is open, then starts again: nothing
-/// is held against the new start, and its kept connections are not used any more.
+/// Two plain targets lose answers until their circuit breakers open, then restart. The failures must not count against
+/// the restarted targets, and idle connections to their earlier processes must not be reused.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_target_restarted_under_its_name_serves_at_once() {
     let mut fleet = fleet("again-born", 1).await;
@@ -35,8 +36,8 @@
     assert_eq!(answer.unwrap().status, 200);
 }
 
-/// Entries by another writer stand beside those of the targets, before, between and after them, and
-/// over one of them until it writes again.
+/// Another writer adds store entries before, between and after those of the targets, and overwrites the entry of one
+/// target until that target writes it again.
 #[tokio::test(flavor = "multi_thread")]
 async fn store_entries_of_other_writers_hide_no_target() {
     let fleet = fleet("foreign", 1).await;
@@ -50,7 +51,7 @@
     ] {
         fleet.platform.store.put(key, value.to_owned());
     }
-    // More than a page of them: the next one begins after such a key.
+    // More than one page of entries, so that the next page starts after such a key.
     for n in 0..600 {
         let key = format!("servers/ &prefix=x {n}");
         fleet.platform.store.put(&key, "odd".to_owned());
@@ -64,7 +65,7 @@
         let answer = ask(&fleet.nodes[0], &stream("/ask/1", 2000, 2)).await;
         assert_eq!(answer.unwrap().status, 200);
     }
-    // A node that starts now reads all of it in a listing.
+    // A restarted node reads all of these entries in a listing.
     let mut fleet = fleet;
     fleet.nodes[0].signal(Signal::SIGKILL);
     tokio::time::sleep(Duration::from_millis(100)).await;
@@ -121,9 +122,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_resumes_on_another_engine_within_one_answer() {
     let fleet = fleet("resume", 1).await;
-    // Whichever engine begins breaks off inside the second event; the other one is well again.
-    for engine in &fleet.platform.engines[..3] {
-        engine.set_fault(TargetFault::AbortsAnswers);
+    // Three of the engines break off inside the second event; the remaining one is sound.
+    for engine in &fleet.world.engines[..3] {
+        engine.set_fault(TargetFault::BreaksOff);
     }
     let mut resumed = 0;
     for _ in 0..6 {
@@ -160,7 +161,7 @@
     }
 }
 
-/// A target that is slow is still at work: an answer that can't go on elsewhere is waited for.
+/// A slow target may still be working, so the node waits for an answer that cannot resume on another target.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stalled_target_does_not_end_answers_that_cannot_resume_elsewhere() {
     let fleet = fleet("stalls", 1).await;
--- a/tests/testsuite/platform/malformed_input.rs
+++ b/tests/testsuite/platform/malformed_input.rs
@@ -1,4 +1,4 @@
-//! Malformed and oversize input costs nobody else anything.
+//! Malformed and oversize input is rejected without affecting other requests.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 
 async fn send_raw(addr: std::net::SocketAddr, text: &[u8]) -> String {
     let mut stream = TcpStream::connect(addr).await.unwrap();
-    // A node may answer and close before all is written.
+    // A node may answer and close the connection before everything is written.
     let _ = stream.write_all(text).await;
     let mut answer = Vec::new();
     let read = stream.read_to_end(&mut answer);
@@ -32,7 +32,7 @@
     let nameless = format!("{HEAD}content-length: 0\r\n\r\n");
     assert!(send_raw(addr, nameless.as_bytes()).await.contains("400"));
     assert!(send_raw(addr, b"nonsense\r\n\r\n").await.contains("400"));
-    // A head that never ends.
+    // A request head that is never completed.
     assert!(send_raw(addr, HEAD.as_bytes()).await.contains("408"));
     assert_eq!(status(node, &plain("/post/1")).await, 200);
 }
--- a/tests/testsuite/platform/mod.rs
+++ b/tests/testsuite/platform/mod.rs
@@ -1,4 +1,4 @@
-//! Node processes before a stand-in platform.
+//! Real node processes against a stand-in platform: store, targets and callers.
 
 mod burn;
 mod configuration;
--- a/tests/testsuite/platform/quarantine_command.rs
+++ b/tests/testsuite/platform/quarantine_command.rs
@@ -1,4 +1,4 @@
-//! What an operator sees of the quarantine, and how one ends early.
+//! The `quarantine` command: an operator lists quarantined requests and ends a quarantine early.
 
 use std::process::{Command, Output};
 use std::time::Duration;
@@ -9,7 +9,7 @@
 
 use super::support::{ask, dir, program, stream};
 
-/// Time within which all nodes hear of what was told to one.
+/// Time within which a change at one node reaches all nodes.
 const PROPAGATION_TIME: Duration = Duration::from_millis(600);
 
 fn quarantine(fleet: &Fleet, args: &[&str]) -> Output {
@@ -43,7 +43,7 @@
         asked
     };
     for n in 0..6 {
-        // It never has a whole answer.
+        // The request never gets a complete answer.
         let answer = ask(&fleet.nodes[n % 3], &asked()).await;
         assert!(!matches!(answer, Ok(ref a) if a.status == 200));
         tokio::time::sleep(Duration::from_millis(150)).await;
@@ -64,7 +64,7 @@
     let ended = quarantine(&fleet, &["end", &request]);
     assert!(ended.status.success(), "{ended:?}");
     tokio::time::sleep(PROPAGATION_TIME).await;
-    // It is sent to targets again, by another node too.
+    // The request is sent to targets again, even by another node.
     let _ = ask(&fleet.nodes[1], &asked()).await;
     assert!(fleet.platform.crashing_requests.targets_reached(&body) > reached);
     let again = quarantine(&fleet, &["end", "00000000000000000000000000000001"]);
--- a/tests/testsuite/platform/repeats.rs
+++ b/tests/testsuite/platform/repeats.rs
@@ -1,11 +1,10 @@
-//! Requests that crash the targets that run them, and come again.
+//! Requests that crash the targets that run them and are retried by their callers.
 //!
-//! A request whose prompt ended every engine that ran it was sent by its caller again and again, to any node.
-//! Each node remembered for one attempt which targets had failed, and forgot it with the attempt: no node knew
-//! the request when it came again. Of 14 engines 11 ended within 1.6 s, each with up to 16 streams of other callers;
-//! in ten seconds the same request was placed 51 times in 34 attempts at nine nodes, and 32 engines ended under it
-//! (`send failed` with `broken: error reading a body from connection`, and `connect failed: Connection refused`
-//! right after it).
+//! Guards against one request crashing many targets. A node that remembers failed targets only for the duration of an
+//! attempt does not recognize the request when its caller retries it at any node. In one such case 11 of 14 engines
+//! crashed within 1.6 s, each with up to 16 streams of other callers; within ten seconds the request was placed
+//! 51 times in 34 attempts at nine nodes and crashed 32 engines. The logs showed `send failed` with
+//! `broken: error reading a body from connection`, directly followed by `connect failed: Connection refused`.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -17,19 +16,19 @@
 
 use super::support::{ask, dir, plain, program, stream, trace};
 
-/// Crashes after which nobody doubts what ends the targets.
+/// Crashes after which a request is considered the cause and quarantined.
 const CRASHES_UNTIL_QUARANTINE: usize = 3;
 
-/// Most sends after these, by nodes that have not heard of them.
+/// Maximum number of further sends, by nodes that have not heard of these crashes yet.
 const MAX_LATER_SENDS: usize = 3;
 
-/// Attempts of a caller that does not give up.
+/// Attempts of a caller that keeps retrying.
 const ATTEMPTS: usize = 12;
 
-/// Time between them.
+/// Time between two attempts.
 const RETRY_INTERVAL: Duration = Duration::from_millis(150);
 
-/// Nodes before enough targets that some are left while others have ended.
+/// Starts a fleet with enough targets that some are left while others are down.
 async fn large_fleet(test: &str) -> Fleet {
     let world = PlatformOptions {
         engines: 6,
@@ -44,13 +43,13 @@
         platform: world,
     };
     let fleet = Fleet::open(program(), &dir(test), options).await.unwrap();
-    // The targets' entries follow the configuration by a moment.
+    // Targets write their store entries shortly after the configuration.
     tokio::time::sleep(Duration::from_millis(400)).await;
     fleet
 }
 
-/// Sends the same request again and again, to one node after the other, while the targets that it ends are
-/// started again; returns how many targets it has reached.
+/// Sends the same request repeatedly, to each node in turn, and restarts the targets that it crashes; returns how many
+/// targets it has reached.
 async fn send_repeatedly(fleet: &mut Fleet, asked: impl Fn() -> Asked, body: &Bytes) -> usize {
     fleet.world.crashes.make_crash(body.clone());
     for n in 0..ATTEMPTS {
@@ -91,12 +90,9 @@
     }
 }
 
-/// An attempt of a request that is in quarantine has its answer at once: it has not run.
-async fn assert_quarantined(fleet: &Fleet, node: usize, asked: &CallerRequest) {
-    let reached = fleet
-        .platform
-        .crashing_requests
-        .targets_reached(&asked.body);
+/// Asserts that a quarantined request is refused with a `retry-after` and reaches no target.
+async fn assert_quarantined(fleet: &Fleet, node: usize, asked: &Asked) {
+    let reached = fleet.world.crashes.reached(&asked.body);
     let answer = ask(&fleet.nodes[node], asked).await.unwrap();
     assert_eq!(answer.status, 503);
     assert!(answer.has_retry_after);
@@ -143,8 +139,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn nodes_share_quarantines_while_the_store_is_down() {
     let mut fleet = large_fleet("crashing-store-down").await;
-    // Known to control only after a watch has failed; the nodes keep their targets.
-    fleet.platform.store.set_fault(StoreFault::Unavailable);
+    // Nodes notice the outage only when a watch fails, and they keep the targets that they know.
+    fleet.world.store.set_fault(StoreFault::Unavailable);
     let body = Bytes::from_static(b"{\"e\":1}");
     let reached = send_repeatedly(&mut fleet, || stream("/ask/1", 1500, 6), &body).await;
     assert!(
@@ -155,8 +151,8 @@
         let asked = with_body(stream("/ask/1", 1500, 6), &body);
         assert_quarantined(&fleet, n, &asked).await;
     }
-    // The store learns of it when it is back.
-    fleet.platform.store.set_fault(StoreFault::None);
+    // The nodes write the quarantine to the store when it is back.
+    fleet.world.store.set_fault(StoreFault::None);
     tokio::time::sleep(Duration::from_millis(2500)).await;
     for node in &mut fleet.nodes {
         node.signal(Signal::SIGKILL);
@@ -170,8 +166,8 @@
     }
 }
 
-/// While the store is down no node learns that a target has another start, under the name that it had; only that it
-/// takes requests again.
+/// While the store is down nodes do not learn that a target has restarted under its old name; they only see that it
+/// accepts requests again.
 #[tokio::test(flavor = "multi_thread")]
 async fn each_target_crash_counts_even_if_its_restart_is_unknown() {
     let world = WorldOptions {
@@ -193,8 +189,8 @@
     );
 }
 
-/// Other callers' streams are on the engines that end. They go on elsewhere, or come back once as their
-/// callers do, and none of them is taken for the cause.
+/// Streams of other callers run on the engines that crash. They resume on another engine or are retried by their
+/// callers, and none of them is mistaken for the cause.
 #[tokio::test(flavor = "multi_thread")]
 async fn sound_requests_beside_it_are_served() {
     let mut fleet = large_fleet("crashing-beside").await;
@@ -242,7 +238,7 @@
     assert!(refusals >= 1);
 }
 
-/// Fingerprints of the requests that a node has ever quarantined.
+/// Fingerprints of all requests that a node has quarantined, according to its log.
 fn quarantined_fingerprints(node: &NodeProcess) -> BTreeSet<String> {
     let text = node.log_text();
     let lines = text.lines().filter(|l| l.contains("request quarantined"));
@@ -282,7 +278,7 @@
         );
         let (_, rest) = attempt_history.split_once("fingerprint=").unwrap();
         let request = rest.split_whitespace().next().unwrap();
-        // By the fingerprint: every attempt, the targets that ended, and since when nothing is sent.
+        // The trace by fingerprint shows every attempt, the targets that ended, and when the quarantine began.
         let history = trace(&fleet, request);
         assert!(history.contains("target ended"), "{history}");
         assert!(history.contains("request quarantined"), "{history}");
--- a/tests/testsuite/platform/signals.rs
+++ b/tests/testsuite/platform/signals.rs
@@ -1,4 +1,4 @@
-//! What targets ask for beside their answers: a limit that all nodes share, to be left alone, a pause.
+//! Signals that targets send with their answers: a rate limit that all nodes share, draining, and back-off.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 
 use super::support::{ask, fleet, plain, status, stream};
 
-/// Most requests that arrived in one span, of those from a moment on.
+/// Highest number of requests that arrived at a target within one span, counting from `from` on.
 fn max_in_a_span_since(target: &TargetHandle, from: Instant) -> usize {
     let arrivals = target.arrivals().into_iter().map(|a| a.at);
     let arrivals: Vec<Duration> = arrivals
@@ -19,7 +19,7 @@
     peak_requests_in_window(&arrivals)
 }
 
-/// Asks all nodes side by side for a while; statuses of the answers.
+/// Sends requests to all nodes concurrently for `length`; returns the statuses of the answers.
 async fn load(
     fleet: &Fleet,
     length: Duration,
@@ -38,11 +38,11 @@
     futures::future::join_all(callers).await.concat()
 }
 
-/// Least part of the requests that each of two targets gets which take all work.
+/// Minimum share of the requests that each of two targets gets when both accept all requests.
 const MIN_SHARE: f64 = 0.2;
 
-/// Several callers a node at a time, since one by one nearly all go to the target that answers quickest. Part of the
-/// requests that arrived at a target.
+/// Share of the requests that arrived at a target under concurrent load. Each node has several callers at a time, since
+/// with one at a time nearly all requests go to the target that answers fastest.
 async fn share_of_concurrent_load(
     fleet: &Fleet,
     target: &TargetHandle,
@@ -92,7 +92,7 @@
             ..Signals::default()
         });
     }
-    // How it is answered is another test's matter.
+    // Other tests check how this request is answered.
     let _ = ask(node, &plain("/note/1")).await;
     assert!(is_logged_soon(&fleet, "target asks to back off").await);
 }
@@ -111,7 +111,7 @@
         let most = max_in_a_span_since(engine, announced_at + SETTLE);
         assert!(most <= allowed(rate), "{most} of {}", allowed(rate));
     }
-    // The others have room for all.
+    // The other engines have capacity for all requests.
     assert!(statuses.iter().all(|s| *s == 200), "{statuses:?}");
 }
 
@@ -146,7 +146,7 @@
         statuses.iter().all(|s| [200, 503].contains(s)),
         "{statuses:?}"
     );
-    // A refusal costs less than the pause between two requests.
+    // A refusal takes less time than the pause between two requests.
     assert!(statuses.len() >= 120, "{}", statuses.len());
     for target in &fleet.world.plain {
         let most = max_in_a_span_since(target, began);
@@ -167,7 +167,7 @@
     assert!(share >= MIN_SHARE, "{share}");
 }
 
-/// Time after which a target that has said that it leaves gets nothing more.
+/// Time after which a target that signals draining gets no more requests.
 const DRAIN_TIME: Duration = Duration::from_secs(2);
 
 fn draining() -> Signals {
@@ -181,8 +181,8 @@
     target.arrivals().iter().filter(|a| a.at >= from).count()
 }
 
-/// Loads nodes for the drain time, then counts what still arrives at targets that have said that they leave. The store
-/// takes no entry at the time, so only the targets' answers tell.
+/// Loads nodes for the drain time, then checks that nothing more arrives at the draining targets. The targets write
+/// nothing about it to the store, so nodes learn it from the answers alone.
 async fn check_draining(
     fleet: &Fleet,
     draining_targets: &[TargetHandle],
@@ -228,7 +228,7 @@
     assert!(share >= MIN_SHARE, "{share}");
 }
 
-/// Requests of one node that may arrive in a pause that the target has asked it for.
+/// Requests of one node that may still arrive at a target after it asked the node to back off.
 const MAX_REQUESTS_DURING_BACK_OFF: usize = 2;
 
 fn back_off_for(seconds: f64) -> Signals {
@@ -238,7 +238,7 @@
     }
 }
 
-/// Loads a node that targets have asked for a pause, and counts what arrives there all the same.
+/// Loads nodes that targets have asked to back off, and checks how many requests still arrive at these targets.
 async fn check_back_off(fleet: &Fleet, asking: &[TargetHandle], asked: impl Fn() -> Asked) {
     for target in asking {
         target.set_signals(back_off_for(6.0));
@@ -281,8 +281,8 @@
     for asked in &asked {
         assert_eq!(status(&fleet.nodes[0], asked).await, 503);
     }
-    // Each target is asked once; after that none is.
-    for target in fleet.platform.plain.iter().chain(&fleet.platform.engines) {
+    // Each target has been asked once and has signalled back-off; until that ends none is asked again.
+    for target in fleet.world.plain.iter().chain(&fleet.world.engines) {
         target.set_signals(Signals::default());
     }
     let arrived = || -> usize {
--- a/tests/testsuite/platform/soak.rs
+++ b/tests/testsuite/platform/soak.rs
@@ -1,7 +1,7 @@
-//! A short soak; seeds that failed once stay here, each with its cause.
+//! Short soak tests. Seeds that failed before stay as regression tests, each with its cause.
 //!
-//! 20: the stand-in engine went on with the next event after it had been silenced for a while, and
-//! ended the stream as complete with events missing. The stand-in was at fault.
+//! Seed 20: a fault in the stand-in engine. After it had been silenced for a while it continued with the next event and
+//! ended the stream as complete, with events missing.
 
 use std::time::Duration;
 
@@ -29,7 +29,7 @@
     soak(5, 3, FaultOptions::default(), 2).await;
 }
 
-/// With this seed 35 targets ended under one request, after one of its answers was whole.
+/// With this seed one request crashed 35 targets after one of its answers had been complete.
 #[tokio::test(flavor = "multi_thread")]
 async fn requests_that_crash_their_targets_are_kept_from_them_by_five_nodes() {
     soak(77_003, 5, RESTARTS, 3).await;
--- a/tests/testsuite/platform/store_return.rs
+++ b/tests/testsuite/platform/store_return.rs
@@ -1,8 +1,8 @@
-//! A store that is away for a moment and comes back from a copy some seconds old.
+//! A store that is briefly unavailable and is then restored from a copy some seconds old.
 //!
-//! What was written since is gone, revisions and leases are given out again, and the operator and the targets write
-//! again what they say, in any order. Nodes compared revisions alone: an entry written again with a lower one was not
-//! believed, and one that the copy brought back was.
+//! Writes after the copy are lost, revision numbers and lease ids are reused, and the operator and the targets write
+//! their entries again in any order. Guards against comparing revisions alone: nodes then ignore an entry that is
+//! written again with a lower revision, and accept an outdated one that the copy restored.
 
 use std::time::Duration;
 
@@ -14,20 +14,20 @@
 
 use super::support::{ask, dir, plain, program, status, stream};
 
-/// Age of the copy; what the tests write before is older.
+/// Age of the copy. Tests wait longer than this before their changes, so that the copy contains the initial state.
 const COPY_AGE: Duration = Duration::from_millis(3000);
 
-/// Time for which the store is away.
+/// Time for which the store is unavailable.
 const OUTAGE: Duration = Duration::from_millis(700);
 
-/// Time within which the return is known of.
+/// Time within which nodes detect that the store was restored.
 const DETECTION_TIME: Duration = Duration::from_millis(1000);
 
-/// Time after the return within which all nodes see what the store holds: what lives is written again within about two
-/// seconds, which run from when a node knows of the return.
+/// Time after the return within which all nodes agree with the store: live entries are written again within about two
+/// seconds from when a node detects the return.
 const SETTLE_TIME: Duration = DETECTION_TIME.saturating_add(Duration::from_millis(2200));
 
-/// Time within which a change is in force everywhere.
+/// Time within which a change is in effect on all nodes.
 const APPLY_TIME: Duration = Duration::from_millis(1800);
 
 fn store_return(seed: u64) -> StoreReturn {
@@ -38,7 +38,7 @@
     }
 }
 
-/// Nodes that have run for longer than the copy is old.
+/// Starts nodes and waits until they have run for longer than the age of the copy.
 async fn settled_fleet(test: &str) -> Fleet {
     let world = PlatformOptions {
         engines: 4,
@@ -53,7 +53,7 @@
     fleet
 }
 
-/// Asks all nodes for a while; whether any request was run by a target.
+/// Sends requests to all nodes for `time`; returns whether `target` ran any of them.
 async fn receives_requests(fleet: &Fleet, target: &TargetHandle, time: Duration) -> bool {
     let until = Instant::now() + time;
     let mut reached = false;
@@ -86,8 +86,8 @@
     for _ in 0..40 {
         fleet.platform.write_configuration();
     }
-    // Its entry has a revision that the store gives out once more, much later.
-    fleet.platform.restart_plain(1).await.unwrap();
+    // The entry gets a revision that the restored store reaches again only much later.
+    fleet.world.restart_plain(1).await.unwrap();
     tokio::time::sleep(Duration::from_millis(300)).await;
     fleet.world.return_store(store_return(2)).await;
     tokio::time::sleep(SETTLE_TIME).await;
@@ -105,7 +105,7 @@
     fleet.platform.deregister(&gone);
     tokio::time::sleep(Duration::from_millis(300)).await;
     fleet.world.return_store(store_return(3)).await;
-    // It reads the copy, in which the target is ready.
+    // The restarted node reads the copy, in which the target is ready.
     fleet.nodes[2].signal(Signal::SIGKILL);
     assert!(
         fleet.nodes[2]
@@ -166,7 +166,7 @@
             assert_eq!(status(node, &asked).await, 200);
         }
     }
-    // A later one is in force in time.
+    // A later configuration takes effect in time.
     fleet
         .platform
         .change_configuration(|c| c.accounts[0].keys.retain(|k| k != "key-3"));
@@ -191,7 +191,7 @@
     let leaving = fleet.world.plain[3].clone();
     fleet.world.drain(&leaving);
     tokio::time::sleep(SETTLE_TIME).await;
-    // Revisions have grown past what the cut-off node knows.
+    // Raises the revision past the last one that the cut-off node has seen.
     for _ in 0..40 {
         fleet.platform.write_configuration();
     }
@@ -221,7 +221,7 @@
     tokio::time::sleep(Duration::from_millis(500)).await;
     let before = written(&fleet);
     assert!(before.len() >= 3, "{before:?}");
-    // The quarantine came after the copy; also where the store goes back twice in a row.
+    // The quarantine is newer than the copy. This holds when the store reverts twice in a row as well.
     for seed in [8, 9] {
         fleet.world.return_store(store_return(seed)).await;
         assert_eq!(fleet.world.store.fault(), StoreFault::None);
--- a/tests/testsuite/platform/support.rs
+++ b/tests/testsuite/platform/support.rs
@@ -1,4 +1,4 @@
-//! What these tests share.
+//! Helpers shared by the platform tests.
 
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -9,7 +9,7 @@
 
 static ATTEMPTS: AtomicU64 = AtomicU64::new(1);
 
-/// The program of the nodes.
+/// The executable that nodes run.
 pub(super) fn program() -> &'static Path {
     Path::new(env!("CARGO_BIN_EXE_azuresaddle"))
 }
@@ -21,7 +21,7 @@
     dir
 }
 
-/// Starts nodes and targets.
+/// Starts nodes and the stand-in platform with its targets.
 pub(super) async fn fleet(test: &str, nodes: u8) -> Fleet {
     let options = FleetOptions {
         nodes,
@@ -29,14 +29,14 @@
     };
     let opened = Fleet::open(program(), &dir(test), options).await;
     let fleet = opened.unwrap();
-    // The targets' entries follow the configuration by a moment.
+    // Targets write their store entries shortly after the configuration.
     tokio::time::sleep(Duration::from_millis(400)).await;
     fleet
 }
 
-/// A plain request.
-pub(super) fn plain(path: &str) -> CallerRequest {
-    CallerRequest {
+/// A request that gets a single response, not a stream of events.
+pub(super) fn plain(path: &str) -> Asked {
+    Asked {
         attempt: format!("{:016x}", ATTEMPTS.fetch_add(1, Ordering::Relaxed)),
         path: path.to_owned(),
         host: "desk.example".to_owned(),
@@ -47,25 +47,25 @@
     }
 }
 
-/// A request that is answered by events.
-pub(super) fn stream(path: &str, prompt: u64, events: u64) -> CallerRequest {
-    CallerRequest {
+/// A request that is answered by a stream of events.
+pub(super) fn stream(path: &str, prompt: u64, events: u64) -> Asked {
+    Asked {
         tokens: Some((prompt, events * 46)),
         ..plain(path)
     }
 }
 
-/// Asks a node on a new connection.
-pub(super) async fn ask(node: &NodeProcess, asked: &CallerRequest) -> Result<Answer, CallerError> {
-    Caller::default().ask(node.callers_addr(), asked).await
+/// Sends a request to a node on a new connection.
+pub(super) async fn ask(node: &NodeProcess, asked: &Asked) -> Result<Answer, CallerError> {
+    Caller::default().ask(node.callers(), asked).await
 }
 
-/// Asks a node and returns the status of its answer.
-pub(super) async fn status(node: &NodeProcess, asked: &CallerRequest) -> u16 {
+/// Sends a request to a node and returns the status of its answer.
+pub(super) async fn status(node: &NodeProcess, asked: &Asked) -> u16 {
     ask(node, asked).await.unwrap().status.as_u16()
 }
 
-/// What `trace` prints of a request, by the id of an attempt or by its fingerprint.
+/// Output of the `trace` command for a request, given by the id of an attempt or by its fingerprint.
 pub(super) fn trace(fleet: &Fleet, request: &str) -> String {
     let logs: Vec<PathBuf> = fleet
         .nodes
--- a/tests/testsuite/platform/wire_faults.rs
+++ b/tests/testsuite/platform/wire_faults.rs
@@ -1,5 +1,5 @@
-//! Targets that break the protocol: surplus, repeated, unframed, early and unreadable answers, slow
-//! engines, orders without an answer.
+//! Targets that violate the protocol: surplus, repeated, unframed, early and invalid answers, slow engines, and orders
+//! that are not answered.
 
 use std::time::Duration;
 
@@ -8,8 +8,8 @@
 
 use super::support::{ask, fleet, plain, status, stream};
 
-/// A node before one plain target that answers that way.
-async fn raw_fleet(test: &str, answer: ProtocolFault) -> (Fleet, Arrivals) {
+/// Starts a node whose only plain target answers in the given way.
+async fn raw_fleet(test: &str, answer: RawAnswer) -> (Fleet, Arrivals) {
     let mut fleet = fleet(test, 1).await;
     for target in &fleet.platform.plain {
         fleet.platform.deregister(target);
@@ -19,7 +19,7 @@
     (fleet, arrivals)
 }
 
-/// A request whose body is whole only if it is all of one letter.
+/// A request whose body consists of a single repeated letter, so that a target can tell whether it arrived intact.
 fn single_letter_request(path: &str, bytes: usize) -> Asked {
     Asked {
         body: vec![b'x'; bytes].into(),
@@ -27,8 +27,8 @@
     }
 }
 
-/// Sends requests on one connection; their statuses. The caller checks that each successful answer
-/// is its own and whole.
+/// Sends requests on one connection and returns the statuses. The caller checks that each successful answer is
+/// complete and belongs to its request.
 async fn ask_sequentially(fleet: &Fleet, all: &[Asked]) -> Vec<u16> {
     let mut caller = Caller::default();
     let mut statuses = Vec::new();
@@ -82,7 +82,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_body_answered_early_is_still_sent_completely() {
     let (mut fleet, arrivals) = raw_fleet("early", RawAnswer::Early).await;
-    // More than the buffers of a connection hold.
+    // Larger than the buffers of a connection.
     let length = 12 << 20;
     fleet
         .platform
@@ -120,13 +120,13 @@
         for engine in &fleet.platform.engines {
             engine.set_fault(fault);
         }
-        // Needs two engines; no reservation is ever answered.
+        // The prompt needs two engines; no reservation is answered in time.
         let asked = stream("/ask/1", 500_000, 3);
         let answer = ask(&fleet.nodes[0], &asked).await.unwrap();
         assert_eq!(answer.status, 503, "{test}");
         assert!(answer.has_retry_after);
-        assert_eq!(fleet.platform.runs.of(&asked.attempt).count, 0);
-        // A reservation holds for three seconds and is not renewed.
+        assert_eq!(fleet.world.runs.of(&asked.attempt).count, 0);
+        // An unrenewed reservation expires after three seconds.
         tokio::time::sleep(Duration::from_millis(4200)).await;
         assert_eq!(fleet.platform.reserved_tokens(), 0, "{test}");
     }
@@ -141,7 +141,7 @@
         let asked = stream("/ask/1", 40_000, 2);
         let started = std::time::Instant::now();
         assert_eq!(status(&fleet.nodes[0], &asked).await, 200);
-        // Alone 160 ms to read, on all four engines less; 640 ms on the slow one.
+        // Reading the prompt takes 160 ms on one engine, less when split over all four, and 640 ms on the slow one.
         late += u32::from(started.elapsed() > Duration::from_millis(450));
     }
     assert!(late <= 3, "{late} of 12 waited for the slow engine");
--- a/tests/testsuite/processes.rs
+++ b/tests/testsuite/processes.rs
@@ -1,4 +1,4 @@
-//! Real node processes on loopback, killed and paused; outcomes only, no times.
+//! Real node processes on loopback that are killed, paused and terminated. Only outcomes are checked, not times.
 
 use std::net::SocketAddr;
 use std::process::{Child, Command, Stdio};
@@ -44,7 +44,7 @@
     _store: StoreServer,
 }
 
-/// A port that is free now.
+/// An address whose port is free at the moment.
 async fn free_port() -> SocketAddr {
     let listener = TcpNetwork.bind(localhost()).await.expect("a free port");
     listener.local_addr()
@@ -157,7 +157,7 @@
     }
 }
 
-/// Sends requests until one is answered whole, so that the pool has an owner.
+/// Sends requests until one is answered completely, which means that the pool has an owner.
 async fn wait_until_ready(system: &System) {
     let started = tokio::time::Instant::now();
     while started.elapsed() < READY_TIMEOUT {
@@ -210,7 +210,7 @@
         tokio::time::sleep(Duration::from_secs(10)).await;
         paused.signal("-CONT");
     };
-    // The callers know the node that lives; the others they learn of by asking it.
+    // Callers start with the address of the surviving node and learn the other nodes from it.
     let (report, ()) = tokio::join!(load(&system, 5.0, 6.0), pause);
     assert_sound(&report);
     let deadline = tokio::time::Instant::now() + READY_TIMEOUT;
--- a/tests/testsuite/rules.rs
+++ b/tests/testsuite/rules.rs
@@ -1,4 +1,4 @@
-//! Rules: the first match decides, and what is checked before they are accepted.
+//! Rules: the first matching rule applies, and documents are validated before they are accepted.
 
 use azuresaddle_core::rules::{RequestFacts, RulesDocument, check};
 
--- a/tests/testsuite/scenario/arguments.rs
+++ b/tests/testsuite/scenario/arguments.rs
@@ -1,4 +1,4 @@
-//! Reads the arguments of a line, and puts results into words.
+//! Reads the arguments of a command and formats results for the transcript.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 
 use super::trace::RequestEnd;
 
-/// The hosts that `start` asks for.
+/// The cluster that a `start` command describes.
 pub(super) fn spec(args: &ArgMatches) -> ClusterSpec {
     let options = EngineOptions {
         memory_tokens: number(args, "memory"),
@@ -31,7 +31,7 @@
     }
 }
 
-/// The request that `send` asks for.
+/// The request that a `send` command describes.
 pub(super) fn caller_request(id: &str, args: &ArgMatches) -> CallerRequest {
     CallerRequest {
         model: Model::new("m"),
@@ -45,12 +45,12 @@
     }
 }
 
-/// Body of a change of the rules.
+/// Body of an operator's request to replace the rules document of version `base`.
 pub(super) fn put_body(base: u64, rules: &str) -> String {
     format!(r#"{{"base": {base}, "document": {{"rules": {rules}}}}}"#)
 }
 
-/// How a request ended, in words.
+/// Formats how a request ended.
 pub(super) fn describe(end: &RequestEnd) -> String {
     match end {
         RequestEnd::Whole => "whole".to_owned(),
@@ -70,7 +70,7 @@
     }
 }
 
-/// An operator's answer, in words.
+/// Formats the answer to an operator's request.
 pub(super) fn describe_version(status: u16, version: Option<u64>) -> String {
     match version {
         Some(version) => format!("{status}, version {version}"),
@@ -78,22 +78,22 @@
     }
 }
 
-/// A value as text; empty where it is absent.
+/// An argument as text; empty if it is absent.
 pub(super) fn text(args: &ArgMatches, name: &str) -> String {
     args.get_one::<String>(name).cloned().unwrap_or_default()
 }
 
-/// A value that may be absent.
+/// An optional argument as text.
 pub(super) fn opt(args: &ArgMatches, name: &str) -> Option<String> {
     args.get_one::<String>(name).cloned()
 }
 
-/// A number, which has a default.
+/// A numeric argument that has a default.
 pub(super) fn number(args: &ArgMatches, name: &str) -> u64 {
     *args.get_one(name).expect("has a default")
 }
 
-/// A duration.
+/// A duration argument that is required or has a default.
 pub(super) fn time(args: &ArgMatches, name: &str) -> Duration {
     *args.get_one(name).expect("has a value")
 }
--- a/tests/testsuite/scenario/checker.rs
+++ b/tests/testsuite/scenario/checker.rs
@@ -1,4 +1,4 @@
-//! Judges a run by the promises that always hold.
+//! Checks a run against the guarantees that must always hold.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,13 +7,13 @@
 
 use super::trace::{RequestEnd, Trace};
 
-/// Time in which an accepted version is in force on every reachable node.
+/// Time within which an accepted version of the rules is in effect on every reachable node.
 const RULES_APPLY_TIME: Duration = Duration::from_secs(4);
 
-/// Time that a final answer may take to reach its caller.
+/// Time that a final answer may take to reach its caller after the deadline.
 const DELIVERY_TIME: Duration = Duration::from_millis(500);
 
-/// Every promise that the run broke, in words.
+/// Describes each guarantee that the run violated.
 pub(super) fn violated_guarantees(trace: &Trace) -> Vec<String> {
     let mut violations = Vec::new();
     check_requests(trace, &mut violations);
--- a/tests/testsuite/scenario/checker_tests.rs
+++ b/tests/testsuite/scenario/checker_tests.rs
@@ -1,4 +1,4 @@
-//! The checker fails on runs that broke a promise.
+//! The checker detects runs that violated a guarantee.
 
 use std::time::Duration;
 
--- a/tests/testsuite/scenario/driver.rs
+++ b/tests/testsuite/scenario/driver.rs
@@ -1,4 +1,4 @@
-//! Runs a script line by line.
+//! Runs a scenario script line by line.
 
 use std::fmt::Write;
 use std::time::Duration;
@@ -54,7 +54,7 @@
     let violations = violated_guarantees(&driver.world.trace);
     assert!(
         violations.is_empty(),
-        "{}broken: {violations:#?}",
+        "{}violated guarantees: {violations:#?}",
         driver.transcript
     );
     driver.transcript.push_str("every promise held\n");
@@ -63,13 +63,13 @@
 
 struct Driver {
     world: World,
-    /// The engine that `busy` stands for, from its first use on.
+    /// The engine that the name `busy` stands for; chosen at its first use.
     busy: Option<String>,
     transcript: String,
 }
 
 impl Driver {
-    /// The host that a line names; `busy` is the engine with the most streams.
+    /// The host that a command names; `busy` is the engine with the most streams.
     fn host(&mut self, args: &ArgMatches) -> String {
         let name = text(args, "host");
         if name != "busy" {
@@ -148,7 +148,7 @@
         None
     }
 
-    /// Thaws one host, or every node.
+    /// Thaws one host, or every node if the name is `nodes`.
     fn thaw(&mut self, host: &str) {
         if host != "nodes" {
             self.world.set_frozen(host, false);
@@ -219,7 +219,7 @@
         describe_version(status.as_u16(), version)
     }
 
-    /// Several operators change the same version at once, each through another node.
+    /// Lets several operators change the same version concurrently, through different nodes.
     async fn race_rules(&mut self, args: &ArgMatches) -> String {
         let base = number(args, "base");
         let nodes: Vec<_> = self.world.cluster.nodes.keys().cloned().collect();
--- a/tests/testsuite/scenario/grammar.rs
+++ b/tests/testsuite/scenario/grammar.rs
@@ -1,4 +1,4 @@
-//! The words of the test language.
+//! The grammar of the scenario language.
 
 use std::time::Duration;
 
--- a/tests/testsuite/scenario/mod.rs
+++ b/tests/testsuite/scenario/mod.rs
@@ -1,4 +1,4 @@
-//! Scripted scenarios: `tests/scenarios/*.scn`, one command a line, on real nodes over an
+//! Scripted scenarios: `tests/scenarios/*.scn`, one command per line, run on real nodes over an
 //! in-memory network with a paused clock.
 
 mod arguments;
--- a/tests/testsuite/scenario/random_walks.rs
+++ b/tests/testsuite/scenario/random_walks.rs
@@ -1,22 +1,22 @@
-//! Random walks over the words of the test language.
+//! Random walks: scenario scripts of randomly chosen commands.
 //!
-//! `AZURESADDLE_WALKS=N` runs N walks with the seeds after the fixed ones.
+//! `AZURESADDLE_WALKS=N` runs N more walks, with the seeds after the fixed ones.
 
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
 use super::driver;
 
-/// Walks that always run.
+/// Number of walks that always run, with the seeds from 1 on.
 const FIXED_WALKS: u64 = 12;
 
-/// Steps of one walk.
+/// Number of steps of one walk.
 const STEPS: usize = 40;
 
 const NODES: usize = 3;
 const ENGINES: usize = 3;
 
-/// What a walk has broken and has to mend.
+/// Faults that a walk has injected and must repair at its end.
 #[derive(Default)]
 struct ActiveFaults {
     node: Option<usize>,
--- a/tests/testsuite/scenario/world/hosts.rs
+++ b/tests/testsuite/scenario/world/hosts.rs
@@ -1,4 +1,4 @@
-//! Hosts that are killed, frozen, cut off or told to leave.
+//! Operations on hosts: kill, restart, freeze, cut off, and tell to leave.
 
 use azuresaddle_core::prelude::*;
 use tokio::time::Instant;
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Cuts two hosts off from each other; `all` stands for every other host.
+    /// Disconnects or reconnects two hosts; `all` stands for every other host.
     pub(in crate::scenario) fn set_cut(&mut self, one: &str, other: &str, cut: bool) {
         for other in self.others(one, other) {
             let (a, b) = (
@@ -123,7 +123,7 @@
             .expect("an engine")
     }
 
-    /// The owner of the first pool, as most nodes know it.
+    /// The owner in the ownership record with the highest epoch that any node knows.
     pub(in crate::scenario) fn owner(&self) -> Option<HostName> {
         let records = self.cluster.nodes.values().flat_map(|host| {
             let owners = host.node.snapshot().owners.clone();
--- a/tests/testsuite/scenario/world/mod.rs
+++ b/tests/testsuite/scenario/world/mod.rs
@@ -1,4 +1,4 @@
-//! The system under test with its callers.
+//! The system under test and its callers.
 
 mod hosts;
 mod operators;
@@ -16,19 +16,19 @@
 
 use super::trace::{LateStart, RequestEnd, RulesObservation, Trace};
 
-/// Interval at which the nodes' rules are looked at.
+/// Interval at which the nodes' versions of the rules are recorded.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time after which a leaving target must get no new work.
+/// Time after which a leaving target must get no new requests.
 const LEAVING_GRACE: Duration = Duration::from_secs(3);
 
-/// Time for which a node must have been reachable for its rules to be due.
+/// Time for which a node must have been reachable before the checker expects current rules from it.
 const MIN_REACHABLE_TIME: Duration = Duration::from_secs(4);
 
-/// Longest wait for requests and memory at the end.
+/// Longest wait at the end for requests to finish and memory to be released.
 const FINISH_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// A request under way.
+/// A request that has not ended.
 struct RunningRequest {
     task: JoinHandle<(RequestEnd, Duration)>,
     deadline: Duration,
@@ -39,7 +39,7 @@
 /// A target that was told to leave.
 struct LeavingTarget {
     since: Instant,
-    /// Starts counted once it must get no more.
+    /// Requests that it had begun when the grace period ended; `None` until then.
     starts: Option<u64>,
 }
 
@@ -47,11 +47,12 @@
 pub(super) struct World {
     pub(super) cluster: Cluster<MemoryHosts>,
     running: BTreeMap<String, RunningRequest>,
-    /// Digest of each ended request's prompt; none for calls.
+    /// Digest of each ended request's prompt, by which engines count executions; `None` for calls.
     digests: BTreeMap<String, Option<u64>>,
     killed: BTreeMap<String, HostSpec>,
-    /// Nodes that can't be reached, and since when others can be again.
+    /// Hosts that cannot be reached.
     unreachable: BTreeSet<String>,
+    /// When each host became reachable again.
     reachable_since: BTreeMap<String, Instant>,
     leaving: BTreeMap<String, LeavingTarget>,
     restarts: BTreeMap<String, u32>,
@@ -83,7 +84,7 @@
         panic!("the cluster did not settle");
     }
 
-    /// Lets time pass and looks at the nodes' rules.
+    /// Lets time pass and records the nodes' versions of the rules.
     pub(super) async fn advance(&mut self, time: Duration) {
         let until = Instant::now() + time;
         while Instant::now() < until {
@@ -117,7 +118,7 @@
         }
     }
 
-    /// Ends the run: all requests end, and all memory comes back.
+    /// Ends the run: waits until all requests have ended and all memory is released.
     pub(super) async fn finish(&mut self) {
         let ids: Vec<String> = self.running.keys().cloned().collect();
         for id in ids {
@@ -150,7 +151,7 @@
         }
     }
 
-    /// Notes whether a leaving target began work after its time.
+    /// Records whether a leaving target began requests after its grace period.
     fn end_leaving(&mut self, name: &str) {
         let Some(LeavingTarget {
             starts: Some(before),
--- a/tests/testsuite/scenario/world/operators.rs
+++ b/tests/testsuite/scenario/world/operators.rs
@@ -1,4 +1,4 @@
-//! Calls of operators.
+//! Requests of operators.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 use super::{SAMPLE_INTERVAL, World};
 
 impl World {
-    /// Makes an operator's call; returns the status and the version in the answer, if any.
+    /// Sends an operator's request; returns the status and the version in the answer, if any.
     pub(in crate::scenario) async fn operator_request(
         &mut self,
         via: Option<&str>,
--- a/tests/testsuite/scenario/world/requests.rs
+++ b/tests/testsuite/scenario/world/requests.rs
@@ -41,7 +41,7 @@
         self.running.insert(id.to_owned(), running);
     }
 
-    /// Calls the plain service once; the body is the id, by which the service counts.
+    /// Calls the plain service once. The body holds the id, by which the service counts executions.
     pub(in crate::scenario) fn call(
         &mut self,
         id: &str,
@@ -113,7 +113,7 @@
         self.trace.requests[id].end.clone()
     }
 
-    /// A caller goes away without waiting for its answer.
+    /// Disconnects a caller that does not wait for its answer.
     pub(in crate::scenario) fn hang_up(&mut self, id: &str) {
         if let Some(running) = self.running.remove(id) {
             running.task.abort();
@@ -137,7 +137,7 @@
     counts.filter_map(|c| c.get(&call_body(id)).copied()).sum()
 }
 
-/// Body of a call; calls whose ids differ only after a dot are retries of one another.
+/// Body of a call. Ids that differ only after a dot denote retries of the same call.
 fn call_body(id: &str) -> String {
     id.split('.').next().unwrap_or(id).to_owned()
 }
--- a/tests/testsuite/store_calls.rs
+++ b/tests/testsuite/store_calls.rs
@@ -1,11 +1,11 @@
-//! Calls to the store are few.
+//! The rate of calls that idle nodes make to the store.
 
 use std::time::Duration;
 
 use azuresaddle_standin::cluster::{Cluster, ClusterSpec, MemoryHosts};
 use azuresaddle_standin::engine::EngineOptions;
 
-/// A watch that returned at once on an empty store made nodes call it without a pause.
+/// Guards against a busy loop: a watch that returned immediately on an empty store made nodes call it without a pause.
 #[tokio::test(start_paused = true)]
 async fn an_idle_node_makes_about_one_store_call_per_second() {
     let spec = ClusterSpec::uniform(3, 2, 0, &EngineOptions::default());
