--- a/crates/azuresaddle-standin/src/cmd/soak.rs
+++ b/crates/azuresaddle-standin/src/cmd/soak.rs
@@ -113,9 +113,9 @@
             crashers: get(args, "crashers"),
         };
         let report = runtime.block_on(run_soak(&options))?;
-        say(report.to_string().trim_end());
+        print_line(report.to_string().trim_end());
         if !report.passed() {
-            bad.push(seed);
+            failed_seeds.push(seed);
         }
     }
     if !failed_seeds.is_empty() {
--- a/crates/azuresaddle-standin/src/engine/server.rs
+++ b/crates/azuresaddle-standin/src/engine/server.rs
@@ -169,7 +169,7 @@
         let shared = &self.shared;
         match (&method, segments.as_slice()) {
             (&Method::POST, ["v1", "streams"]) => {
-                let start: Start = read_body(req).await?;
+                let start: StartRequest = read_body(req).await?;
                 let (id, first) = (start.stream, start.prior.len() as u64);
                 let reader = shared.state().start(start).map_err(rejection_problem)?;
                 shared.queued.notify_waiters();
@@ -187,7 +187,7 @@
             }
             (&Method::DELETE, ["v1", "streams", id]) => self.cancel(&req, stream_id(id)?).await,
             (&Method::POST, ["v1", "lends"]) => {
-                let lend: Lend = read_body(req).await?;
+                let lend: LendRequest = read_body(req).await?;
                 shared.state().lend(lend).map_err(rejection_problem)?;
                 Ok(json(StatusCode::OK, &GoneReply { gone: false }))
             }
--- a/crates/azuresaddle-standin/src/engine/state.rs
+++ b/crates/azuresaddle-standin/src/engine/state.rs
@@ -39,7 +39,7 @@
     pub(super) options: EngineOptions,
     pub(super) streams: BTreeMap<StreamId, Stream>,
     /// Memory held for streams that other engines lead.
-    lends: BTreeMap<StreamId, Lend>,
+    lends: BTreeMap<StreamId, LendRequest>,
     /// Highest epoch seen for each pool.
     fences: HashMap<String, Epoch>,
     pub(super) cache: PrefixCache,
@@ -111,7 +111,7 @@
     }
 
     /// Queues a new stream and returns the number of its reader.
-    pub(super) fn start(&mut self, start: Start) -> Result<u64, Rejection> {
+    pub(super) fn start(&mut self, start: StartRequest) -> Result<u64, Rejection> {
         self.check_fence(&start.fence)?;
         if self.streams.contains_key(&start.stream) {
             return Err(Rejection::Duplicate);
--- a/crates/azuresaddle-standin/src/soak/signal_checks.rs
+++ b/crates/azuresaddle-standin/src/soak/signal_checks.rs
@@ -7,7 +7,6 @@
 
 use super::callers::SoakState;
 use super::signals::{Affected, Announcement, RelayedSignals, SignalFault, SignalRecords};
-use crate::limit_check::{SETTLE, allowed, most_in_a_span};
 use crate::platform::ArrivedRequest;
 use crate::rate_limit_check::{ADJUSTMENT_TIME, max_requests_in_window, peak_requests_in_window};
 
@@ -57,7 +56,7 @@
     let end = announcement.ended.unwrap_or_else(Instant::now);
     let counted: Vec<Duration> = arrivals
         .iter()
-        .filter(|a| (announcement.began + SETTLE..end).contains(&a.at))
+        .filter(|a| (announcement.began + ADJUSTMENT_TIME..end).contains(&a.at))
         .filter(|a| {
             let relayed = first_relayed(log, announcement, a, |t| t.signals.rate_limit.is_some());
             relayed
@@ -65,8 +64,8 @@
         })
         .map(|a| a.at - announcement.began)
         .collect();
-    let most = most_in_a_span(&counted);
-    let allowed = allowed(rate);
+    let most = peak_requests_in_window(&counted);
+    let allowed = max_requests_in_window(rate);
     (most > allowed).then(|| format!("{most} requests in 4 s, {allowed} allowed"))
 }
 
--- a/tests/testsuite/platform/configuration.rs
+++ b/tests/testsuite/platform/configuration.rs
@@ -50,9 +50,9 @@
     tokio::time::sleep(APPLY_TIME).await;
     assert_eq!(status(&fleet.nodes[0], &plain("/post/1")).await, 404);
     // Writes the configuration with the route under an older version, then an unreadable one.
-    fleet.world.configuration.version = 2;
-    fleet.world.write_configuration();
-    fleet.world.store.put("op/config", "{\"version\":99}{");
+    fleet.platform.configuration.version = 2;
+    fleet.platform.write_configuration();
+    fleet.platform.store.put("op/config", "{\"version\":99}{");
     tokio::time::sleep(APPLY_TIME).await;
     assert_eq!(status(&fleet.nodes[0], &plain("/post/1")).await, 404);
     assert_eq!(status(&fleet.nodes[0], &plain("/note/1")).await, 200);
@@ -85,8 +85,8 @@
     fleet
         .platform
         .change_configuration(|c| c.routes.retain(|r| r.prefix != "/post/"));
-    fleet.world.store.compact();
-    fleet.world.store.set_fault(StoreFault::None);
+    fleet.platform.store.compact();
+    fleet.platform.store.set_fault(StoreFault::None);
     tokio::time::sleep(APPLY_TIME).await;
     assert_eq!(status(&fleet.nodes[0], &plain("/post/1")).await, 404);
 }
--- a/tests/testsuite/platform/faults.rs
+++ b/tests/testsuite/platform/faults.rs
@@ -123,8 +123,8 @@
 async fn a_stream_resumes_on_another_engine_within_one_answer() {
     let fleet = fleet("resume", 1).await;
     // Three of the engines break off inside the second event; the remaining one is sound.
-    for engine in &fleet.world.engines[..3] {
-        engine.set_fault(TargetFault::BreaksOff);
+    for engine in &fleet.platform.engines[..3] {
+        engine.set_fault(TargetFault::AbortsAnswers);
     }
     let mut resumed = 0;
     for _ in 0..6 {
--- a/tests/testsuite/platform/repeats.rs
+++ b/tests/testsuite/platform/repeats.rs
@@ -50,8 +50,12 @@
 
 /// Sends the same request repeatedly, to each node in turn, and restarts the targets that it crashes; returns how many
 /// targets it has reached.
-async fn send_repeatedly(fleet: &mut Fleet, asked: impl Fn() -> Asked, body: &Bytes) -> usize {
-    fleet.world.crashes.make_crash(body.clone());
+async fn send_repeatedly(
+    fleet: &mut Fleet,
+    asked: impl Fn() -> CallerRequest,
+    body: &Bytes,
+) -> usize {
+    fleet.platform.crashing_requests.add(body.clone());
     for n in 0..ATTEMPTS {
         let asked = with_body(asked(), body);
         let node = &fleet.nodes[n % fleet.nodes.len()];
@@ -61,7 +65,7 @@
             "{answer:?}"
         );
         tokio::time::sleep(RETRY_INTERVAL).await;
-        fleet.world.restart_ended().await.unwrap();
+        fleet.platform.restart_ended().await.unwrap();
     }
     fleet.platform.crashing_requests.targets_reached(body)
 }
@@ -91,8 +95,11 @@
 }
 
 /// Asserts that a quarantined request is refused with a `retry-after` and reaches no target.
-async fn assert_quarantined(fleet: &Fleet, node: usize, asked: &Asked) {
-    let reached = fleet.world.crashes.reached(&asked.body);
+async fn assert_quarantined(fleet: &Fleet, node: usize, asked: &CallerRequest) {
+    let reached = fleet
+        .platform
+        .crashing_requests
+        .targets_reached(&asked.body);
     let answer = ask(&fleet.nodes[node], asked).await.unwrap();
     assert_eq!(answer.status, 503);
     assert!(answer.has_retry_after);
@@ -140,7 +147,7 @@
 async fn nodes_share_quarantines_while_the_store_is_down() {
     let mut fleet = large_fleet("crashing-store-down").await;
     // Nodes notice the outage only when a watch fails, and they keep the targets that they know.
-    fleet.world.store.set_fault(StoreFault::Unavailable);
+    fleet.platform.store.set_fault(StoreFault::Unavailable);
     let body = Bytes::from_static(b"{\"e\":1}");
     let reached = send_repeatedly(&mut fleet, || stream("/ask/1", 1500, 6), &body).await;
     assert!(
@@ -152,7 +159,7 @@
         assert_quarantined(&fleet, n, &asked).await;
     }
     // The nodes write the quarantine to the store when it is back.
-    fleet.world.store.set_fault(StoreFault::None);
+    fleet.platform.store.set_fault(StoreFault::None);
     tokio::time::sleep(Duration::from_millis(2500)).await;
     for node in &mut fleet.nodes {
         node.signal(Signal::SIGKILL);
@@ -170,7 +177,7 @@
 /// accepts requests again.
 #[tokio::test(flavor = "multi_thread")]
 async fn each_target_crash_counts_even_if_its_restart_is_unknown() {
-    let world = WorldOptions {
+    let world = PlatformOptions {
         engines: 2,
         plain: 1,
     };
@@ -267,7 +274,7 @@
             assert_ne!(ran, refused, "{answer:?}");
             last = asked.attempt;
             tokio::time::sleep(RETRY_INTERVAL).await;
-            fleet.world.restart_ended().await.unwrap();
+            fleet.platform.restart_ended().await.unwrap();
         }
         assert_eq!(fleet.platform.runs.of(&last).count, 0, "{path}");
         tokio::time::sleep(Duration::from_millis(300)).await;
--- a/tests/testsuite/platform/signals.rs
+++ b/tests/testsuite/platform/signals.rs
@@ -2,8 +2,10 @@
 
 use std::time::Duration;
 
-use azuresaddle_standin::limit_check::{SETTLE, SPAN, allowed, most_in_a_span};
 use azuresaddle_standin::platform::{CallerRequest, Signals, TargetHandle};
+use azuresaddle_standin::rate_limit_check::{
+    ADJUSTMENT_TIME, WINDOW, max_requests_in_window, peak_requests_in_window,
+};
 use azuresaddle_standin::soak::Fleet;
 use tokio::time::Instant;
 
@@ -86,7 +88,7 @@
     assert_eq!(status(node, &plain("/note/1")).await, 200);
     assert!(is_logged_soon(&fleet, "target limits its rate").await);
     assert!(is_logged_soon(&fleet, "target is draining").await);
-    for target in &fleet.world.plain {
+    for target in &fleet.platform.plain {
         target.set_signals(Signals {
             back_off: Some(Duration::from_secs(3)),
             ..Signals::default()
@@ -106,10 +108,20 @@
     }
     let announced_at = Instant::now();
     let asked = || stream("/ask/1", 1500, 2);
-    let statuses = load(&fleet, SETTLE + SPAN * 2, Duration::from_millis(60), asked).await;
-    for engine in &fleet.world.engines[..2] {
-        let most = max_in_a_span_since(engine, announced_at + SETTLE);
-        assert!(most <= allowed(rate), "{most} of {}", allowed(rate));
+    let statuses = load(
+        &fleet,
+        ADJUSTMENT_TIME + WINDOW * 2,
+        Duration::from_millis(60),
+        asked,
+    )
+    .await;
+    for engine in &fleet.platform.engines[..2] {
+        let most = max_in_a_span_since(engine, announced_at + ADJUSTMENT_TIME);
+        assert!(
+            most <= max_requests_in_window(rate),
+            "{most} of {}",
+            max_requests_in_window(rate)
+        );
     }
     // The other engines have capacity for all requests.
     assert!(statuses.iter().all(|s| *s == 200), "{statuses:?}");
@@ -119,12 +131,22 @@
 async fn all_nodes_together_respect_the_rate_limit_of_a_plain_target() {
     let fleet = fleet("limited-plain", 3).await;
     let rate = 1.0;
-    fleet.world.plain[0].set_signals(limited(rate));
+    fleet.platform.plain[0].set_signals(limited(rate));
     let announced_at = Instant::now();
     let asked = || plain("/post/1");
-    let statuses = load(&fleet, SETTLE + SPAN * 2, Duration::from_millis(60), asked).await;
-    let most = max_in_a_span_since(&fleet.world.plain[0], announced_at + SETTLE);
-    assert!(most <= allowed(rate), "{most} of {}", allowed(rate));
+    let statuses = load(
+        &fleet,
+        ADJUSTMENT_TIME + WINDOW * 2,
+        Duration::from_millis(60),
+        asked,
+    )
+    .await;
+    let most = max_in_a_span_since(&fleet.platform.plain[0], announced_at + ADJUSTMENT_TIME);
+    assert!(
+        most <= max_requests_in_window(rate),
+        "{most} of {}",
+        max_requests_in_window(rate)
+    );
     assert!(statuses.iter().all(|s| *s == 200), "{statuses:?}");
 }
 
@@ -148,9 +170,13 @@
     );
     // A refusal takes less time than the pause between two requests.
     assert!(statuses.len() >= 120, "{}", statuses.len());
-    for target in &fleet.world.plain {
+    for target in &fleet.platform.plain {
         let most = max_in_a_span_since(target, began);
-        assert!(most <= allowed(rate), "{most} of {}", allowed(rate));
+        assert!(
+            most <= max_requests_in_window(rate),
+            "{most} of {}",
+            max_requests_in_window(rate)
+        );
     }
 }
 
@@ -162,7 +188,7 @@
     target.set_signals(limited(1.0));
     load(&fleet, ADJUSTMENT_TIME, Duration::from_millis(60), asked).await;
     target.set_signals(Signals::default());
-    load(&fleet, SETTLE, Duration::from_millis(60), asked).await;
+    load(&fleet, ADJUSTMENT_TIME, Duration::from_millis(60), asked).await;
     let share = share_of_concurrent_load(&fleet, target, Duration::from_millis(60), asked).await;
     assert!(share >= MIN_SHARE, "{share}");
 }
@@ -186,7 +212,7 @@
 async fn check_draining(
     fleet: &Fleet,
     draining_targets: &[TargetHandle],
-    asked: impl Fn() -> Asked,
+    asked: impl Fn() -> CallerRequest,
 ) {
     for target in draining_targets {
         target.set_signals(draining());
@@ -205,26 +231,26 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_draining_plain_target_gets_nothing_after_the_drain_time() {
     let fleet = fleet("leaving-plain", 3).await;
-    check_draining(&fleet, &fleet.world.plain[..1], || plain("/post/1")).await;
+    check_draining(&fleet, &fleet.platform.plain[..1], || plain("/post/1")).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn draining_engines_get_nothing_after_the_drain_time() {
     let fleet = fleet("leaving-engines", 3).await;
     let asked = || stream("/ask/1", 1500, 2);
-    check_draining(&fleet, &fleet.world.engines[..2], asked).await;
+    check_draining(&fleet, &fleet.platform.engines[..2], asked).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_restarted_target_is_no_longer_draining() {
     let mut fleet = fleet("leaving-restarted", 1).await;
-    fleet.world.plain[0].set_signals(draining());
+    fleet.platform.plain[0].set_signals(draining());
     let asked = || plain("/note/1");
     let pause = Duration::from_millis(20);
     load(&fleet, Duration::from_secs(1), pause, asked).await;
     fleet.platform.restart_plain(0).await.unwrap();
     tokio::time::sleep(Duration::from_millis(500)).await;
-    let share = share_of_concurrent_load(&fleet, &fleet.world.plain[0], pause, asked).await;
+    let share = share_of_concurrent_load(&fleet, &fleet.platform.plain[0], pause, asked).await;
     assert!(share >= MIN_SHARE, "{share}");
 }
 
@@ -239,7 +265,7 @@
 }
 
 /// Loads nodes that targets have asked to back off, and checks how many requests still arrive at these targets.
-async fn check_back_off(fleet: &Fleet, asking: &[TargetHandle], asked: impl Fn() -> Asked) {
+async fn check_back_off(fleet: &Fleet, asking: &[TargetHandle], asked: impl Fn() -> CallerRequest) {
     for target in asking {
         target.set_signals(back_off_for(6.0));
     }
@@ -261,20 +287,20 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_plain_target_that_asks_to_back_off_is_avoided() {
     let fleet = fleet("back-off-plain", 1).await;
-    check_back_off(&fleet, &fleet.world.plain[..1], || plain("/post/1")).await;
+    check_back_off(&fleet, &fleet.platform.plain[..1], || plain("/post/1")).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn engines_that_ask_to_back_off_are_avoided() {
     let fleet = fleet("back-off-engines", 1).await;
     let asked = || stream("/ask/1", 1500, 2);
-    check_back_off(&fleet, &fleet.world.engines[..2], asked).await;
+    check_back_off(&fleet, &fleet.platform.engines[..2], asked).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn requests_are_refused_while_all_targets_ask_to_back_off() {
     let fleet = fleet("back-off-all", 1).await;
-    for target in fleet.world.plain.iter().chain(&fleet.world.engines) {
+    for target in fleet.platform.plain.iter().chain(&fleet.platform.engines) {
         target.set_signals(back_off_for(1.5));
     }
     let asked = [plain("/post/1"), stream("/ask/1", 1500, 2)];
@@ -282,7 +308,7 @@
         assert_eq!(status(&fleet.nodes[0], asked).await, 503);
     }
     // Each target has been asked once and has signalled back-off; until that ends none is asked again.
-    for target in fleet.world.plain.iter().chain(&fleet.world.engines) {
+    for target in fleet.platform.plain.iter().chain(&fleet.platform.engines) {
         target.set_signals(Signals::default());
     }
     let arrived = || -> usize {
--- a/tests/testsuite/platform/store_return.rs
+++ b/tests/testsuite/platform/store_return.rs
@@ -30,10 +30,10 @@
 /// Time within which a change is in effect on all nodes.
 const APPLY_TIME: Duration = Duration::from_millis(1800);
 
-fn store_return(seed: u64) -> StoreReturn {
-    StoreReturn {
-        away: OUTAGE,
-        by: COPY_AGE,
+fn store_return(seed: u64) -> StoreRollback {
+    StoreRollback {
+        outage: OUTAGE,
+        copy_age: COPY_AGE,
         seed,
     }
 }
@@ -72,11 +72,11 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_draining_target_still_gets_no_work_after_the_return() {
     let fleet = settled_fleet("return-drain").await;
-    let leaving = fleet.world.plain[0].clone();
+    let leaving = fleet.platform.plain[0].clone();
     assert!(receives_requests(&fleet, &leaving, Duration::from_millis(400)).await);
-    fleet.world.drain(&leaving);
+    fleet.platform.drain(&leaving);
     tokio::time::sleep(Duration::from_millis(300)).await;
-    fleet.world.return_store(store_return(1)).await;
+    fleet.platform.roll_back_store(store_return(1)).await;
     assert!(!receives_requests(&fleet, &leaving, SETTLE_TIME).await);
 }
 
@@ -87,13 +87,13 @@
         fleet.platform.write_configuration();
     }
     // The entry gets a revision that the restored store reaches again only much later.
-    fleet.world.restart_plain(1).await.unwrap();
+    fleet.platform.restart_plain(1).await.unwrap();
     tokio::time::sleep(Duration::from_millis(300)).await;
-    fleet.world.return_store(store_return(2)).await;
+    fleet.platform.roll_back_store(store_return(2)).await;
     tokio::time::sleep(SETTLE_TIME).await;
-    let leaving = fleet.world.plain[1].clone();
+    let leaving = fleet.platform.plain[1].clone();
     assert!(receives_requests(&fleet, &leaving, Duration::from_millis(400)).await);
-    fleet.world.drain(&leaving);
+    fleet.platform.drain(&leaving);
     tokio::time::sleep(Duration::from_millis(500)).await;
     assert!(!receives_requests(&fleet, &leaving, Duration::from_millis(500)).await);
 }
@@ -104,7 +104,7 @@
     let gone = fleet.platform.plain[2].clone();
     fleet.platform.deregister(&gone);
     tokio::time::sleep(Duration::from_millis(300)).await;
-    fleet.world.return_store(store_return(3)).await;
+    fleet.platform.roll_back_store(store_return(3)).await;
     // The restarted node reads the copy, in which the target is ready.
     fleet.nodes[2].signal(Signal::SIGKILL);
     assert!(
@@ -113,7 +113,7 @@
             .await
     );
     fleet.nodes[2].start().unwrap();
-    fleet.nodes[2].until_ready().await.unwrap();
+    fleet.nodes[2].wait_until_ready().await.unwrap();
     assert!(!receives_requests(&fleet, &gone, Duration::from_millis(1000)).await);
 }
 
@@ -124,7 +124,7 @@
     let new = fleet.platform.plain[4].clone();
     tokio::time::sleep(Duration::from_millis(300)).await;
     assert!(receives_requests(&fleet, &new, Duration::from_millis(400)).await);
-    fleet.world.return_store(store_return(4)).await;
+    fleet.platform.roll_back_store(store_return(4)).await;
     assert!(receives_requests(&fleet, &new, Duration::from_millis(900)).await);
     tokio::time::sleep(SETTLE_TIME).await;
     assert!(receives_requests(&fleet, &new, Duration::from_millis(400)).await);
@@ -132,8 +132,8 @@
     fleet.platform.add_plain().await.unwrap();
     let lost = fleet.platform.plain[5].clone();
     tokio::time::sleep(Duration::from_millis(300)).await;
-    fleet.world.forget(&lost);
-    fleet.world.return_store(store_return(5)).await;
+    fleet.platform.abandon_entry(&lost);
+    fleet.platform.roll_back_store(store_return(5)).await;
     tokio::time::sleep(SETTLE_TIME).await;
     assert!(!receives_requests(&fleet, &lost, Duration::from_millis(400)).await);
 }
@@ -150,7 +150,7 @@
     for node in &fleet.nodes {
         assert_eq!(status(node, &asked).await, 200);
     }
-    fleet.world.return_store(store_return(6)).await;
+    fleet.platform.roll_back_store(store_return(6)).await;
     fleet.nodes[1].signal(Signal::SIGKILL);
     assert!(
         fleet.nodes[1]
@@ -158,7 +158,7 @@
             .await
     );
     fleet.nodes[1].start().unwrap();
-    fleet.nodes[1].until_ready().await.unwrap();
+    fleet.nodes[1].wait_until_ready().await.unwrap();
     let until = Instant::now() + SETTLE_TIME;
     while Instant::now() < until {
         for node in &fleet.nodes {
@@ -187,9 +187,9 @@
     for n in 1..3 {
         fleet.nodes[n].signal(Signal::SIGKILL);
     }
-    fleet.world.return_store(store_return(7)).await;
-    let leaving = fleet.world.plain[3].clone();
-    fleet.world.drain(&leaving);
+    fleet.platform.roll_back_store(store_return(7)).await;
+    let leaving = fleet.platform.plain[3].clone();
+    fleet.platform.drain(&leaving);
     tokio::time::sleep(SETTLE_TIME).await;
     // Raises the revision past the last one that the cut-off node has seen.
     for _ in 0..40 {
@@ -223,8 +223,8 @@
     assert!(before.len() >= 3, "{before:?}");
     // The quarantine is newer than the copy. This holds when the store reverts twice in a row as well.
     for seed in [8, 9] {
-        fleet.world.return_store(store_return(seed)).await;
-        assert_eq!(fleet.world.store.fault(), StoreFault::None);
+        fleet.platform.roll_back_store(store_return(seed)).await;
+        assert_eq!(fleet.platform.store.fault(), StoreFault::None);
         tokio::time::sleep(DETECTION_TIME).await;
         let after = written(&fleet);
         assert!(before.iter().all(|k| after.contains(k)), "{after:?}");
--- a/tests/testsuite/platform/support.rs
+++ b/tests/testsuite/platform/support.rs
@@ -35,8 +35,8 @@
 }
 
 /// A request that gets a single response, not a stream of events.
-pub(super) fn plain(path: &str) -> Asked {
-    Asked {
+pub(super) fn plain(path: &str) -> CallerRequest {
+    CallerRequest {
         attempt: format!("{:016x}", ATTEMPTS.fetch_add(1, Ordering::Relaxed)),
         path: path.to_owned(),
         host: "desk.example".to_owned(),
@@ -48,20 +48,20 @@
 }
 
 /// A request that is answered by a stream of events.
-pub(super) fn stream(path: &str, prompt: u64, events: u64) -> Asked {
-    Asked {
+pub(super) fn stream(path: &str, prompt: u64, events: u64) -> CallerRequest {
+    CallerRequest {
         tokens: Some((prompt, events * 46)),
         ..plain(path)
     }
 }
 
 /// Sends a request to a node on a new connection.
-pub(super) async fn ask(node: &NodeProcess, asked: &Asked) -> Result<Answer, CallerError> {
-    Caller::default().ask(node.callers(), asked).await
+pub(super) async fn ask(node: &NodeProcess, asked: &CallerRequest) -> Result<Answer, CallerError> {
+    Caller::default().ask(node.callers_addr(), asked).await
 }
 
 /// Sends a request to a node and returns the status of its answer.
-pub(super) async fn status(node: &NodeProcess, asked: &Asked) -> u16 {
+pub(super) async fn status(node: &NodeProcess, asked: &CallerRequest) -> u16 {
     ask(node, asked).await.unwrap().status.as_u16()
 }
 
--- a/tests/testsuite/platform/wire_faults.rs
+++ b/tests/testsuite/platform/wire_faults.rs
@@ -9,7 +9,7 @@
 use super::support::{ask, fleet, plain, status, stream};
 
 /// Starts a node whose only plain target answers in the given way.
-async fn raw_fleet(test: &str, answer: RawAnswer) -> (Fleet, Arrivals) {
+async fn raw_fleet(test: &str, answer: ProtocolFault) -> (Fleet, Arrivals) {
     let mut fleet = fleet(test, 1).await;
     for target in &fleet.platform.plain {
         fleet.platform.deregister(target);
@@ -20,8 +20,8 @@
 }
 
 /// A request whose body consists of a single repeated letter, so that a target can tell whether it arrived intact.
-fn single_letter_request(path: &str, bytes: usize) -> Asked {
-    Asked {
+fn single_letter_request(path: &str, bytes: usize) -> CallerRequest {
+    CallerRequest {
         body: vec![b'x'; bytes].into(),
         ..plain(path)
     }
@@ -29,7 +29,7 @@
 
 /// Sends requests on one connection and returns the statuses. The caller checks that each successful answer is
 /// complete and belongs to its request.
-async fn ask_sequentially(fleet: &Fleet, all: &[Asked]) -> Vec<u16> {
+async fn ask_sequentially(fleet: &Fleet, all: &[CallerRequest]) -> Vec<u16> {
     let mut caller = Caller::default();
     let mut statuses = Vec::new();
     for asked in all {
@@ -55,7 +55,7 @@
         ("repeated", ProtocolFault::Repeated),
     ] {
         let (fleet, arrivals) = raw_fleet(test, answer).await;
-        let all: Vec<Asked> = (0..6)
+        let all: Vec<CallerRequest> = (0..6)
             .map(|_| single_letter_request("/post/1", 40))
             .collect();
         let statuses = ask_sequentially(&fleet, &all).await;
@@ -67,13 +67,13 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_answer_without_length_is_complete_at_close_but_not_after_a_reset() {
-    let (fleet, _) = raw_fleet("unframed", RawAnswer::Unframed).await;
+    let (fleet, _) = raw_fleet("unframed", ProtocolFault::Unframed).await;
     assert_eq!(
         status(&fleet.nodes[0], &single_letter_request("/post/1", 40)).await,
         200
     );
 
-    let (fleet, _) = raw_fleet("unframed-reset", RawAnswer::UnframedReset).await;
+    let (fleet, _) = raw_fleet("unframed-reset", ProtocolFault::UnframedReset).await;
     let asked = single_letter_request("/post/1", 40);
     assert_eq!(status(&fleet.nodes[0], &asked).await, 502);
     assert_eq!(fleet.platform.runs.of(&asked.attempt).count, 1);
@@ -81,14 +81,14 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_body_answered_early_is_still_sent_completely() {
-    let (mut fleet, arrivals) = raw_fleet("early", RawAnswer::Early).await;
+    let (mut fleet, arrivals) = raw_fleet("early", ProtocolFault::Early).await;
     // Larger than the buffers of a connection.
     let length = 12 << 20;
     fleet
         .platform
         .change_configuration(|c| c.max_body_bytes = length as u64);
     tokio::time::sleep(Duration::from_millis(400)).await;
-    let all: Vec<Asked> = (0..4)
+    let all: Vec<CallerRequest> = (0..4)
         .map(|_| single_letter_request("/post/1", length))
         .collect();
     assert_eq!(ask_sequentially(&fleet, &all).await, [200; 4]);
@@ -104,7 +104,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn invalid_answer_bytes_are_not_forwarded() {
-    let (fleet, _) = raw_fleet("garbage", RawAnswer::Garbage).await;
+    let (fleet, _) = raw_fleet("garbage", ProtocolFault::Garbage).await;
     let asked = single_letter_request("/post/1", 40);
     assert_eq!(status(&fleet.nodes[0], &asked).await, 502);
     assert_eq!(fleet.platform.runs.of(&asked.attempt).count, 1);
@@ -125,7 +125,7 @@
         let answer = ask(&fleet.nodes[0], &asked).await.unwrap();
         assert_eq!(answer.status, 503, "{test}");
         assert!(answer.has_retry_after);
-        assert_eq!(fleet.world.runs.of(&asked.attempt).count, 0);
+        assert_eq!(fleet.platform.runs.of(&asked.attempt).count, 0);
         // An unrenewed reservation expires after three seconds.
         tokio::time::sleep(Duration::from_millis(4200)).await;
         assert_eq!(fleet.platform.reserved_tokens(), 0, "{test}");
