--- a/crates/azuresaddle-standin/src/net/stream.rs
+++ b/crates/azuresaddle-standin/src/net/stream.rs
@@ -42,7 +42,7 @@
     }
 
     /// Stores the waker of a pending read, which would otherwise be dropped and leave the task without a waker.
-    fn park(&self, waker: &Waker) {
+    fn store_waker(&self, waker: &Waker) {
         let mut readers = self.readers.lock().unwrap_or_else(PoisonError::into_inner);
         if !readers.iter().any(|known| known.will_wake(waker)) {
             readers.push(waker.clone());
@@ -90,7 +90,7 @@
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         if self.link.is_silent() {
-            self.link.park(cx.waker());
+            self.link.store_waker(cx.waker());
             return Poll::Pending;
         }
         self.inner().poll_read(cx, buf)
--- a/crates/azuresaddle-standin/src/platform/caller.rs
+++ b/crates/azuresaddle-standin/src/platform/caller.rs
@@ -65,7 +65,7 @@
     Timeout,
     /// The answer does not belong to the request or is incomplete.
     #[error("wrong answer: {0}")]
-    Wrong(String),
+    WrongAnswer(String),
 }
 
 /// A caller with one connection, which it reopens when it breaks.
@@ -163,7 +163,7 @@
     }
     let signature = answer.signature.as_deref().unwrap_or("");
     if !signature.ends_with(&request.attempt) {
-        return Err(CallerError::Wrong(format!("signature {signature:?}")));
+        return Err(CallerError::WrongAnswer(format!("signature {signature:?}")));
     }
     let expected = match request.tokens {
         None => plain_body(&request.attempt),
@@ -173,7 +173,7 @@
     };
     if answer.body != expected {
         let body: String = answer.body.chars().take(300).collect();
-        return Err(CallerError::Wrong(format!("body {body:?}")));
+        return Err(CallerError::WrongAnswer(format!("body {body:?}")));
     }
     Ok(())
 }
--- a/crates/azuresaddle-standin/src/platform/engine.rs
+++ b/crates/azuresaddle-standin/src/platform/engine.rs
@@ -311,7 +311,7 @@
     ) -> Response<ChannelBody> {
         match req.uri().path() {
             RESERVATION_PATH => {
-                let (status, body) = Arc::clone(&self.0).take_order(&target, req).await;
+                let (status, body) = Arc::clone(&self.0).handle_order(&target, req).await;
                 let mut response = Response::new(ChannelBody::whole(body));
                 *response.status_mut() = status;
                 response
--- a/crates/azuresaddle-standin/src/platform/engine/orders.rs
+++ b/crates/azuresaddle-standin/src/platform/engine/orders.rs
@@ -31,7 +31,7 @@
 
 impl Engine {
     /// Executes an order; under a fault of orders, the caller never gets an answer.
-    pub(super) async fn take_order(
+    pub(super) async fn handle_order(
         self: Arc<Self>,
         target: &Target,
         req: Request<Incoming>,
@@ -42,21 +42,21 @@
         let body = body.to_bytes();
         match target.fault() {
             TargetFault::OrdersUnanswered => {
-                self.order(&body);
+                self.execute_order(&body);
             }
             TargetFault::OrdersLate => {
                 // Runs on after the caller has disconnected.
                 tokio::spawn(async move {
                     tokio::time::sleep(LATE_ORDER).await;
-                    self.order(&body);
+                    self.execute_order(&body);
                 });
             }
-            _ => return self.order(&body),
+            _ => return self.execute_order(&body),
         }
         std::future::pending().await
     }
 
-    fn order(&self, body: &[u8]) -> (StatusCode, String) {
+    fn execute_order(&self, body: &[u8]) -> (StatusCode, String) {
         let Ok(order) = serde_json::from_slice::<Order>(body) else {
             return (StatusCode::BAD_REQUEST, String::new());
         };
--- a/crates/azuresaddle-standin/src/platform/stand_in.rs
+++ b/crates/azuresaddle-standin/src/platform/stand_in.rs
@@ -69,7 +69,7 @@
     /// Current configuration; changes take effect once it is written.
     pub configuration: ConfigurationSpec,
     registry: EngineRegistry,
-    models: Vec<Arc<Engine>>,
+    engine_models: Vec<Arc<Engine>>,
     target_count: usize,
     /// Entries that the operator and the targets currently want in the store.
     desired_state: DesiredState,
@@ -103,7 +103,7 @@
             crashing_requests: CrashingRequests::default(),
             configuration: first_configuration(),
             registry: EngineRegistry::default(),
-            models: Vec::new(),
+            engine_models: Vec::new(),
             target_count: 0,
             desired_state: DesiredState::new(store.clone()),
             store,
@@ -139,7 +139,7 @@
     pub async fn add_engine(&mut self) -> std::io::Result<()> {
         let (listener, target) = self.new_target("llm").await?;
         let engine = self.serve_engine(listener, &target);
-        self.models.push(engine);
+        self.engine_models.push(engine);
         self.engines.push(TargetHandle { target });
         Ok(())
     }
@@ -249,7 +249,7 @@
 
     /// Returns the tokens of memory reserved on all engines at present.
     pub fn reserved_tokens(&self) -> u64 {
-        self.models.iter().map(|m| m.reserved_tokens()).sum()
+        self.engine_models.iter().map(|m| m.reserved_tokens()).sum()
     }
 
     /// Returns the settings file of a node on a loopback address; all nodes use the same ports, from `port` on.
--- a/crates/azuresaddle-standin/src/platform/stand_in/restart.rs
+++ b/crates/azuresaddle-standin/src/platform/stand_in/restart.rs
@@ -24,7 +24,7 @@
     /// Returns an error if the port can't be bound again.
     pub async fn restart_engine(&mut self, n: usize) -> std::io::Result<()> {
         let (listener, target) = self.respawn_target(&self.engines[n].clone()).await?;
-        self.models[n] = self.serve_engine(listener, &target);
+        self.engine_models[n] = self.serve_engine(listener, &target);
         self.engines[n] = TargetHandle { target };
         Ok(())
     }
--- a/crates/azuresaddle-standin/src/platform/store.rs
+++ b/crates/azuresaddle-standin/src/platform/store.rs
@@ -63,7 +63,7 @@
         self.lock().calls
     }
 
-    pub(super) fn on_call(&self) {
+    pub(super) fn count_call(&self) {
         self.lock().calls += 1;
     }
 
@@ -97,7 +97,7 @@
     /// assigned again.
     pub fn roll_back(&self, by: Duration) {
         let mut state = self.lock();
-        state.end_leases();
+        state.expire_leases();
         state.roll_back(Instant::now() - by);
         let revision = state.revision;
         drop(state);
@@ -112,14 +112,14 @@
     /// Returns the keys that begin with `prefix`.
     pub fn keys(&self, prefix: &str) -> Vec<String> {
         let mut state = self.lock();
-        state.end_leases();
+        state.expire_leases();
         let keys = state.items.keys();
         keys.filter(|k| k.starts_with(prefix)).cloned().collect()
     }
 
     pub(super) fn get(&self, key: &str) -> (Option<Stored>, u64) {
         let mut state = self.lock();
-        state.end_leases();
+        state.expire_leases();
         (state.items.get(key).cloned(), state.revision)
     }
 
@@ -127,18 +127,18 @@
         &self,
         prefix: &str,
         after: &str,
-        most: usize,
+        page_items: usize,
     ) -> (Vec<(String, Stored)>, bool, u64) {
         let mut state = self.lock();
-        state.end_leases();
+        state.expire_leases();
         let matching = state.items.iter().filter(|(k, _)| k.starts_with(prefix));
         let mut page: Vec<(String, Stored)> = matching
             .filter(|(k, _)| k.as_str() > after)
-            .take(most + 1)
+            .take(page_items + 1)
             .map(|(k, v)| (k.clone(), v.clone()))
             .collect();
-        let has_more = page.len() > most;
-        page.truncate(most);
+        let has_more = page.len() > page_items;
+        page.truncate(page_items);
         (page, has_more, state.revision)
     }
 
@@ -146,7 +146,7 @@
     /// the revision has not been assigned yet.
     pub(super) fn changes(&self, prefix: &str, after: u64) -> Option<(Vec<Change>, u64)> {
         let mut state = self.lock();
-        state.end_leases();
+        state.expire_leases();
         if after < state.compacted || after > state.revision {
             return None;
         }
@@ -166,7 +166,7 @@
         removes: &[String],
     ) -> Result<u64, Conflict> {
         let mut state = self.lock();
-        state.end_leases();
+        state.expire_leases();
         let holds = expected
             .iter()
             .all(|(key, revision)| state.items.get(key).map_or(0, |s| s.revision) == *revision);
@@ -198,9 +198,9 @@
     }
 
     /// Renews a lease and returns its time to live, or `None` if it has expired.
-    pub(super) fn keep_lease(&self, lease: u64) -> Option<Duration> {
+    pub(super) fn renew_lease(&self, lease: u64) -> Option<Duration> {
         let mut state = self.lock();
-        state.end_leases();
+        state.expire_leases();
         let (ttl, until) = state.leases.get_mut(&lease)?;
         *until = Instant::now() + *ttl;
         Some(*ttl)
@@ -211,7 +211,7 @@
         if let Some((_, until)) = state.leases.get_mut(&lease) {
             *until = Instant::now();
         }
-        state.end_leases();
+        state.expire_leases();
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
--- a/crates/azuresaddle-standin/src/platform/store_server.rs
+++ b/crates/azuresaddle-standin/src/platform/store_server.rs
@@ -67,7 +67,7 @@
 
 impl Handler for StoreServer {
     async fn handle(self: Arc<Self>, req: Request<Incoming>) -> Response<Body> {
-        self.0.on_call();
+        self.0.count_call();
         let era = self.0.era();
         let mut response = self.answer_unless_faulty(req).await;
         if self.0.era() != era {
@@ -141,7 +141,7 @@
     fn lease_call(&self, path: &str) -> Response<Body> {
         let id = |prefix: &str| path.strip_prefix(prefix).and_then(|id| id.parse().ok());
         if let Some(lease) = id("/kv-keep/") {
-            return match self.0.keep_lease(lease) {
+            return match self.0.renew_lease(lease) {
                 Some(ttl) => respond(&json!({"ttl_ms": ttl.as_millis() as u64})),
                 None => status(StatusCode::NOT_FOUND),
             };
--- a/crates/azuresaddle-standin/src/platform/store_state.rs
+++ b/crates/azuresaddle-standin/src/platform/store_state.rs
@@ -123,7 +123,7 @@
         }
     }
 
-    pub(super) fn end_leases(&mut self) {
+    pub(super) fn expire_leases(&mut self) {
         let now = Instant::now();
         let ended: Vec<u64> = self
             .leases
--- a/crates/azuresaddle-standin/src/soak/callers.rs
+++ b/crates/azuresaddle-standin/src/soak/callers.rs
@@ -67,11 +67,11 @@
             >= at
     }
 
-    fn limit_runs(&self, attempt: &str, most: u32) {
+    fn limit_runs(&self, attempt: &str, max_runs: u32) {
         self.run_limits
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .push((attempt.to_owned(), most));
+            .push((attempt.to_owned(), max_runs));
     }
 }
 
@@ -182,7 +182,7 @@
                 shared.report_violation(what("valid request rejected"));
             }
         }
-        Err(CallerError::Wrong(_)) => shared.report_violation(what("wrong answer")),
+        Err(CallerError::WrongAnswer(_)) => shared.report_violation(what("wrong answer")),
         Err(e) => {
             shared.count(&e.to_string());
             let may_break = shared.was_disrupted_since(began) || *e == CallerError::NoConnection;
--- a/crates/azuresaddle-standin/src/soak/faults.rs
+++ b/crates/azuresaddle-standin/src/soak/faults.rs
@@ -75,9 +75,9 @@
     ];
     let cut = cuts[rng.random_range(0..cuts.len())];
     let restarts = u32::from(options.has_restarts);
-    let returns = u32::from(options.has_store_rollbacks);
+    let rollbacks = u32::from(options.has_store_rollbacks);
     let signals = u32::from(options.has_signals) * SIGNAL_WEIGHT;
-    match rng.random_range(0..COMMON_FAULT_KINDS + restarts + returns + signals) {
+    match rng.random_range(0..COMMON_FAULT_KINDS + restarts + rollbacks + signals) {
         0 => Fault::Kill(node),
         1 | 2 => Fault::Stop(node),
         3 => Fault::Freeze(node),
@@ -98,7 +98,7 @@
         ),
         11 => Fault::Configuration,
         12 if options.has_restarts => Fault::RestartTarget(target),
-        n if n >= COMMON_FAULT_KINDS + restarts + returns => {
+        n if n >= COMMON_FAULT_KINDS + restarts + rollbacks => {
             Fault::Signals(target, SignalFault::random(rng))
         }
         _ => random_store_rollback(rng),
--- a/crates/azuresaddle-standin/src/soak/proxy.rs
+++ b/crates/azuresaddle-standin/src/soak/proxy.rs
@@ -120,15 +120,15 @@
     let (from_target, to_target) = target.split();
     let mut reset = modes.clone();
     tokio::select! {
-        () = pass(from_caller, to_target, modes.clone(), false) => {}
-        () = pass(from_target, to_caller, modes, true) => {}
+        () = forward(from_caller, to_target, modes.clone(), false) => {}
+        () = forward(from_target, to_caller, modes, true) => {}
         // The connection breaks when it is dropped.
         _ = reset.wait_for(|m| *m == ProxyMode::Reset) => {}
     }
 }
 
 /// Forwards one direction until it ends.
-async fn pass(
+async fn forward(
     mut from: ReadHalf<'_>,
     mut to: WriteHalf<'_>,
     mut modes: watch::Receiver<ProxyMode>,
--- a/crates/azuresaddle-standin/src/soak/run.rs
+++ b/crates/azuresaddle-standin/src/soak/run.rs
@@ -90,7 +90,7 @@
             shared.report_violation(format!("a caller panicked: {e}"));
         }
     }
-    check_end(&mut fleet, &shared).await;
+    check_recovery(&mut fleet, &shared).await;
     check_crashes(&fleet, &shared);
     check_signals(&shared);
     let report = shared.report.lock().unwrap_or_else(PoisonError::into_inner);
@@ -99,7 +99,7 @@
 
 /// Checks that a configuration change is in effect on every node, that every node serves requests, that no
 /// memory is still reserved, and that no attempt ran more often than allowed.
-async fn check_end(fleet: &mut Fleet, shared: &SoakState) {
+async fn check_recovery(fleet: &mut Fleet, shared: &SoakState) {
     tokio::time::sleep(SETTLE_TIME).await;
     fleet
         .platform
@@ -140,11 +140,11 @@
         .run_limits
         .lock()
         .unwrap_or_else(PoisonError::into_inner);
-    for (attempt, most) in run_limits.iter() {
+    for (attempt, max_runs) in run_limits.iter() {
         let run = shared.runs.of(attempt);
-        if run.count > *most {
+        if run.count > *max_runs {
             shared.report_violation(format!(
-                "{attempt} ran {} times, at most {most} allowed",
+                "{attempt} ran {} times, at most {max_runs} allowed",
                 run.count
             ));
         }
